--- a/packages/routing/src/core/view/index.ts
+++ b/packages/routing/src/core/view/index.ts
@@ -1,4 +1,7 @@
-/** What the daemons know of the platform, kept fresh by one reader and shared between them. */
+/**
+ * The view: this daemon's copy of the platform's records, read from the store by one daemon and shared with
+ * the others.
+ */
 export type { DeclaredVersion } from './registry.js';
 export { ReplicaRegistry } from './registry.js';
 export type { TakeOver } from './store-watcher.js';
@@ -7,11 +10,11 @@
   AdapterVersion,
   Change,
   Delta,
-  HeldAdapter,
   HeldModel,
   RecordSource,
   ReplicaEntry,
   ReplicaStart,
+  ResidentAdapter,
   ViewRecord,
 } from './types.js';
 export { RecordKind, replicaId, ReplicaState } from './types.js';
--- a/packages/routing/src/core/view/registry.ts
+++ b/packages/routing/src/core/view/registry.ts
@@ -1,4 +1,7 @@
-/** The replicas and declared versions in the view, indexed for the requests. */
+/**
+ * Indexes the records of the platform for request handling: replicas, declared adapter versions, and the
+ * configuration.
+ */
 import type { TimerService } from '@celeryyoke/core';
 
 import { RouteTable } from '../catalog/index.js';
@@ -6,7 +9,7 @@
 import { RecordKind, replicaId, ReplicaState } from './types.js';
 import type { ReplicatedStore } from './replicated-store.js';
 
-/** A declared version of an adapter and when this daemon learnt of it. */
+/** A declared version of an adapter, and when this daemon received it. */
 export interface DeclaredVersion {
   readonly version: number;
   /** Monotonic milliseconds. */
@@ -14,126 +17,111 @@
 }
 
 /**
- * How long a replica that left may still be chosen when its service has no other, in milliseconds. An entry also
- * vanishes when the registry was away, and is back within 2 s; the users' bound on new work for a leaving replica is
- * 2 s, and the rest is for the way there.
+ * Time for which a replica that left may still be chosen if its service has no other, in milliseconds. An
+ * entry also disappears when the platform's registry was unavailable, and returns within 2 s. A leaving
+ * replica must not get new requests after 2 s; the difference allows for the time that the change and the
+ * request take.
  */
-const LINGER_MS = 1500;
+const DEPARTED_SELECTABLE_MS = 1500;
 
-/** Names of replicas whose latest start is remembered, the latest heard of last. */
-const MAX_STARTS = 4096;
+/**
+ * Maximum number of replicas whose latest start is remembered; the one updated least recently is dropped
+ * first.
+ */
+const MAX_KNOWN_STARTS = 4096;
 
-/** Told when a replica appears, changes or goes; the entry is undefined when it is gone, the one before when it is new. */
+/**
+ * Called when a replica appears, changes or is removed. `entry` is undefined if it was removed, `before` if
+ * it is new.
+ */
 export type ReplicaListener = (
   id: string,
   entry: ReplicaEntry | undefined,
   before: ReplicaEntry | undefined,
 ) => void;
 
-/** Replicas, versions and the configuration in force. */
+/**
+ * Replicas, declared versions and the configuration in force, updated with each change of the store's copy.
+ */
 export class ReplicaRegistry {
-  /** The routes in force; undefined before the first document. */
+  /** Routes of the configuration in force; undefined before the first document. */
   table: RouteTable | undefined;
 
   private readonly replicas = new Map<string, ReplicaEntry>();
 
-  /** Replicas that left a moment ago, and when. */
-  private readonly left = new Map<string, { readonly entry: ReplicaEntry; readonly at: number }>();
+  /** Replicas that left recently, by id, with the monotonic time in milliseconds. */
+  private readonly departed = new Map<string, { readonly entry: ReplicaEntry; readonly at: number }>();
 
+  /** Ids of the listed replicas, by key of their record. */
   private readonly idOfKey = new Map<string, string>();
 
-  /** Latest known start of each replica, by its name: an entry of an earlier one that comes late changes nothing. */
-  private readonly starts = new Map<string, number>();
+  /** Latest known start of each replica, by name: a late entry of an earlier incarnation is ignored. */
+  private readonly latestStarts = new Map<string, number>();
 
-  private readonly versions = new Map<string, DeclaredVersion>();
+  private readonly declaredVersions = new Map<string, DeclaredVersion>();
 
-  private readonly listeners: ReplicaListener[] = [];
+  private readonly replicaListeners: ReplicaListener[] = [];
 
   private readonly tableListeners: ((table: RouteTable) => void)[] = [];
 
-  /**
-   * Makes a registry over a view.
-   * @param view - The records.
-   * @param timers - Time.
-   */
   constructor(
     view: ReplicatedStore,
     private readonly timers: TimerService,
   ) {
-    view.onChange((change) => this.take(change));
+    view.onChange((change) => this.applyChange(change));
   }
 
-  /**
-   * Subscribes to replicas.
-   * @param listener - Called after each change.
-   */
+  /** Subscribes to changes of replicas; the listener is called after each. */
   onReplica(listener: ReplicaListener): void {
-    this.listeners.push(listener);
+    this.replicaListeners.push(listener);
   }
 
-  /**
-   * Subscribes to the configuration.
-   * @param listener - Called with each newer table.
-   */
+  /** Subscribes to the configuration; the listener is called with each newer table. */
   onTable(listener: (table: RouteTable) => void): void {
     this.tableListeners.push(listener);
   }
 
-  /** All replicas that the registry lists. */
   all(): Iterable<ReplicaEntry> {
     return this.replicas.values();
   }
 
-  /**
-   * Finds a replica.
-   * @param id - One start of it.
-   * @returns Its entry, or undefined when it is not listed.
-   */
+  /** Entry of one incarnation of a replica; undefined if it is not listed. */
   replica(id: string): ReplicaEntry | undefined {
     return this.replicas.get(id);
   }
 
-  /**
-   * Lists the replicas of a service that take new work.
-   * @param service - The service.
-   * @returns Their entries; where there is none, those that left a moment ago.
-   */
+  /** Replicas of a service that accept new requests; if there is none, those that left recently. */
   ready(service: string): ReplicaEntry[] {
     const found: ReplicaEntry[] = [];
     for (const entry of this.replicas.values())
       if (entry.service === service && entry.state === ReplicaState.Ready) found.push(entry);
-    return found.length > 0 ? found : this.lingering(service);
+    return found.length > 0 ? found : this.recentlyDeparted(service);
   }
 
-  /**
-   * Finds the declared version of an adapter.
-   * @param model - Base model.
-   * @param adapter - Adapter.
-   * @returns The version, or undefined when none was declared.
-   */
+  /** Newest declared version of an adapter; undefined if none was declared. */
   declared(model: string, adapter: string): DeclaredVersion | undefined {
-    return this.versions.get(`${model}/${adapter}`);
+    return this.declaredVersions.get(`${model}/${adapter}`);
   }
 
-  private lingering(service: string): ReplicaEntry[] {
+  private recentlyDeparted(service: string): ReplicaEntry[] {
     const found: ReplicaEntry[] = [];
-    const oldest = this.timers.now() - LINGER_MS;
-    for (const [id, { entry, at }] of this.left) {
-      if (at < oldest) this.left.delete(id);
+    const oldest = this.timers.now() - DEPARTED_SELECTABLE_MS;
+    for (const [id, { entry, at }] of this.departed) {
+      if (at < oldest) this.departed.delete(id);
       else if (entry.service === service) found.push(entry);
     }
     return found;
   }
 
-  private take(change: Change): void {
+  private applyChange(change: Change): void {
     const { record } = change;
-    if (record === undefined) this.drop(change.key);
-    else if (record.kind === RecordKind.Replica) this.takeReplica(change.key, record.replica);
+    if (record === undefined) this.removeReplica(change.key);
+    else if (record.kind === RecordKind.Replica) this.applyReplica(change.key, record.replica);
     else if (record.kind === RecordKind.AdapterVersion) {
       const { model, adapter, version } = record.declared;
-      const known = this.versions.get(`${model}/${adapter}`);
+      const known = this.declaredVersions.get(`${model}/${adapter}`);
       if (known !== undefined && known.version >= version) return;
-      this.versions.set(`${model}/${adapter}`, { version, learntAt: this.timers.now() });
+      this.declaredVersions.set(`${model}/${adapter}`, { version, learntAt: this.timers.now() });
     } else if (this.table === undefined || record.document.version > this.table.document.version) {
       this.table = new RouteTable(record.document);
       for (const listener of this.tableListeners) listener(this.table);
@@ -141,69 +129,72 @@
   }
 
   /**
-   * Notes that a replica has started again, as itself or a peer says before its entry does. The new start holds nothing.
-   * @param start - The replica and its start.
-   * @returns Whether this was news.
+   * Records that a replica has restarted, as reported by the replica or a peer before its entry in the store
+   * shows it. No model is resident on the new incarnation.
+   * @returns Whether the start is later than the latest known one.
    */
   noteStart({ name, bornAt }: ReplicaStart): boolean {
-    if (bornAt <= (this.starts.get(name) ?? Number.NEGATIVE_INFINITY)) return false;
-    this.rememberStart(name, bornAt);
+    if (bornAt <= (this.latestStarts.get(name) ?? Number.NEGATIVE_INFINITY)) return false;
+    this.storeStart(name, bornAt);
     for (const [key, id] of this.idOfKey) {
       const entry = this.replicas.get(id);
       if (entry?.name !== name) continue;
       const models = entry.models === undefined ? undefined : [];
-      this.takeReplica(key, { ...entry, id: replicaId(name, bornAt), bornAt, models });
+      this.applyReplica(key, { ...entry, id: replicaId(name, bornAt), bornAt, models });
       break;
     }
     return true;
   }
 
-  /** The entry as one of a known start; undefined when it is of an earlier one. */
-  private ofLatestStart(entry: ReplicaEntry): ReplicaEntry | undefined {
+  /**
+   * Returns an entry with its start: the latest known one if the entry does not state it. Undefined if the
+   * entry belongs to an earlier incarnation.
+   */
+  private withLatestStart(entry: ReplicaEntry): ReplicaEntry | undefined {
     const { name, bornAt } = entry;
-    const latest = this.starts.get(name);
+    const latest = this.latestStarts.get(name);
     if (bornAt === undefined) {
       if (latest === undefined) return entry;
       return { ...entry, id: replicaId(name, latest), bornAt: latest };
     }
     if (latest !== undefined && bornAt < latest) return undefined;
-    this.rememberStart(name, bornAt);
+    this.storeStart(name, bornAt);
     return entry;
   }
 
-  private rememberStart(name: string, bornAt: number): void {
-    this.starts.delete(name);
-    this.starts.set(name, bornAt);
-    if (this.starts.size <= MAX_STARTS) return;
-    const [oldest] = this.starts.keys();
-    this.starts.delete(oldest!);
+  private storeStart(name: string, bornAt: number): void {
+    this.latestStarts.delete(name);
+    this.latestStarts.set(name, bornAt);
+    if (this.latestStarts.size <= MAX_KNOWN_STARTS) return;
+    const [oldest] = this.latestStarts.keys();
+    this.latestStarts.delete(oldest!);
   }
 
-  private takeReplica(key: string, told: ReplicaEntry): void {
-    const entry = this.ofLatestStart(told);
+  private applyReplica(key: string, received: ReplicaEntry): void {
+    const entry = this.withLatestStart(received);
     if (entry === undefined) return;
-    // What was known of an earlier start is void: to all listeners that replica is gone.
+    // All state of an earlier incarnation is void, so listeners are told that it was removed.
     const knownId = this.idOfKey.get(key);
-    if (knownId !== undefined && knownId !== entry.id) this.drop(key);
+    if (knownId !== undefined && knownId !== entry.id) this.removeReplica(key);
     const before = this.replicas.get(entry.id);
     this.idOfKey.set(key, entry.id);
     this.replicas.set(entry.id, entry);
-    if (entry.state === ReplicaState.Ready) this.left.delete(entry.id);
-    else this.noteLeft(entry);
-    for (const listener of this.listeners) listener(entry.id, entry, before);
+    if (entry.state === ReplicaState.Ready) this.departed.delete(entry.id);
+    else this.recordDeparture(entry);
+    for (const listener of this.replicaListeners) listener(entry.id, entry, before);
   }
 
-  private drop(key: string): void {
+  private removeReplica(key: string): void {
     const id = this.idOfKey.get(key);
     if (id === undefined) return;
     this.idOfKey.delete(key);
     const entry = this.replicas.get(id);
     this.replicas.delete(id);
-    if (entry !== undefined) this.noteLeft(entry);
-    for (const listener of this.listeners) listener(id, undefined, entry);
+    if (entry !== undefined) this.recordDeparture(entry);
+    for (const listener of this.replicaListeners) listener(id, undefined, entry);
   }
 
-  private noteLeft(entry: ReplicaEntry): void {
-    if (!this.left.has(entry.id)) this.left.set(entry.id, { entry, at: this.timers.now() });
+  private recordDeparture(entry: ReplicaEntry): void {
+    if (!this.departed.has(entry.id)) this.departed.set(entry.id, { entry, at: this.timers.now() });
   }
 }
--- a/packages/routing/src/core/view/replicated-store.ts
+++ b/packages/routing/src/core/view/replicated-store.ts
@@ -1,67 +1,64 @@
 /**
- * The records that this daemon knows, with the revision up to which it knows them.
+ * This daemon's copy of the platform's records, with the revision up to which it is complete.
  *
- * Every copy, from the store or from a peer, is merged by revision, so a late or repeated copy changes nothing and
- * no record ever goes back.
+ * Every change, from the store or from a peer, is merged by revision, so late and duplicate changes have no
+ * effect and no record ever reverts to an older state.
  */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { Change, Delta, ReplicaEntry, ViewRecord } from './types.js';
 import { RecordKind } from './types.js';
 
-/** Changes kept for peers that lag; one that lags further gets the whole view. */
-const KEPT_CHANGES = 600;
+/**
+ * Maximum number of changes in the log from which lagging peers get a delta; a peer that lags further gets
+ * all records.
+ */
+const MAX_LOGGED_CHANGES = 600;
 
-interface Known {
+interface StoredRecord {
   readonly revision: number;
   readonly record: ViewRecord | undefined;
 }
 
-/** Told of each change that was new. */
 export type ChangeListener = (change: Change) => void;
 
-/** The merged records. */
+/** The merged records, and a log of recent changes from which deltas for peers are made. */
 export class ReplicatedStore {
-  /** Revision up to which nothing is missing; 0 before the first whole read. */
+  /** Revision up to which this copy is complete; 0 before the first whole delta. */
   upTo = 0;
 
-  /** Changes since the start that peers must hear of. */
-  newsCount = 0;
+  /** Number of changes since the process start that must be published to peers. */
+  publishableCount = 0;
 
-  /** Monotonic time at which the view was last known to be complete, in milliseconds. */
+  /** Monotonic time at which this copy was last known to be up to date, in milliseconds. */
   confirmedAt = Number.NEGATIVE_INFINITY;
 
-  private readonly known = new Map<string, Known>();
+  private readonly stored = new Map<string, StoredRecord>();
 
-  private log: Change[] = [];
+  private changeLog: Change[] = [];
 
-  /** Deltas that begin at this revision or later can be made from the log. */
-  private logFrom = 0;
+  /** Deltas from this revision or a later one can be made from the log. */
+  private logStart = 0;
 
   private readonly listeners: ChangeListener[] = [];
 
-  /**
-   * Makes an empty view.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
-  /** Age of the last confirmation in milliseconds; Infinity before the first. */
+  /**
+   * Time since this copy was last known to be up to date, in milliseconds; Infinity before the first time.
+   */
   get ageMs(): number {
     return this.timers.now() - this.confirmedAt;
   }
 
-  /**
-   * Subscribes to changes.
-   * @param listener - Called once for each new change.
-   */
+  /** Subscribes to changes; the listener is called once for each change that was not known. */
   onChange(listener: ChangeListener): void {
     this.listeners.push(listener);
   }
 
   /**
-   * Notes that a view at a revision was complete some time ago; so was this one if it has as much.
-   * @param upTo - The revision.
+   * Records that a revision was the latest one some time ago; if this copy is complete up to it, it was up to
+   * date as well.
    * @param ageMs - How long ago, in milliseconds.
    */
   confirm(upTo: number, ageMs: number): void {
@@ -70,78 +67,79 @@
   }
 
   /**
-   * Merges a delta.
-   * @param delta - From the store or a peer.
-   * @returns Whether the view could take it; if not, ask for a whole one.
+   * Merges a delta from the store or a peer.
+   * @returns Whether the delta could be applied; if not, changes before it are missing and a whole delta is
+   * needed.
    */
   apply(delta: Delta): boolean {
     if (!delta.isWhole && (delta.from > this.upTo || this.upTo === 0)) return false;
     for (const change of delta.changes) this.merge(change);
     if (delta.upTo <= this.upTo) return true;
-    if (delta.isWhole) this.dropMissing(delta);
+    if (delta.isWhole) this.removeMissing(delta);
     this.upTo = delta.upTo;
-    if (delta.isWhole) this.forgetLog();
+    if (delta.isWhole) this.clearLog();
     return true;
   }
 
   /**
-   * Tells what a lagging copy lacks.
-   * @param from - Revision up to which the copy is complete.
-   * @returns A delta, whole when the copy lags too far.
+   * Makes a delta for a lagging copy.
+   * @param from - Revision up to which that copy is complete.
+   * @returns A delta, whole if the copy lags too far.
    */
   since(from: number): Delta {
-    if (from === 0 || from < this.logFrom) return this.whole();
-    const changes = this.log.filter((change) => change.revision > from);
+    if (from === 0 || from < this.logStart) return this.snapshot();
+    const changes = this.changeLog.filter((change) => change.revision > from);
     return { from, upTo: this.upTo, isWhole: false, changes };
   }
 
-  private whole(): Delta {
+  private snapshot(): Delta {
     const changes: Change[] = [];
-    for (const [key, { revision, record }] of this.known)
+    for (const [key, { revision, record }] of this.stored)
       if (record !== undefined) changes.push({ key, revision, record });
     return { from: 0, upTo: this.upTo, isWhole: true, changes };
   }
 
   private merge(change: Change): void {
-    const known = this.known.get(change.key);
+    const known = this.stored.get(change.key);
     if (known !== undefined && known.revision >= change.revision) return;
-    this.known.set(change.key, { revision: change.revision, record: change.record });
-    if (isNews(known?.record, change.record)) this.remember(change);
+    this.stored.set(change.key, { revision: change.revision, record: change.record });
+    if (mustPublish(known?.record, change.record)) this.appendToLog(change);
     for (const listener of this.listeners) listener(change);
   }
 
-  /** What a whole copy leaves out was removed at some revision up to the copy's. */
-  private dropMissing(delta: Delta): void {
+  /** Removes the records that a whole delta does not contain, unless they were changed after its revision. */
+  private removeMissing(delta: Delta): void {
     const present = new Set(delta.changes.map(({ key }) => key));
-    for (const [key, { revision, record }] of this.known) {
+    for (const [key, { revision, record }] of this.stored) {
       if (record === undefined || present.has(key) || revision > delta.upTo) continue;
       this.merge({ key, revision: delta.upTo, record: undefined });
     }
   }
 
-  private remember(change: Change): void {
-    this.newsCount += 1;
-    this.log.push(change);
-    if (this.log.length <= KEPT_CHANGES) return;
-    const dropped = this.log.shift()!;
-    this.logFrom = Math.max(this.logFrom, dropped.revision);
+  private appendToLog(change: Change): void {
+    this.publishableCount += 1;
+    this.changeLog.push(change);
+    if (this.changeLog.length <= MAX_LOGGED_CHANGES) return;
+    const dropped = this.changeLog.shift()!;
+    this.logStart = Math.max(this.logStart, dropped.revision);
   }
 
-  private forgetLog(): void {
-    this.log = [];
-    this.logFrom = this.upTo;
+  private clearLog(): void {
+    this.changeLog = [];
+    this.logStart = this.upTo;
   }
 }
 
 /**
- * Whether peers must hear of a change. A replica writes its entry about once a second; what an engine holds in it is
- * told sooner by the daemon that gives it orders, and stands in whole copies.
+ * Whether a change must be published to peers. A replica writes its entry about once a second; the adapters
+ * in it need not be published, as the owner of the engine publishes them sooner, and whole deltas contain
+ * them.
  */
-function isNews(before: ViewRecord | undefined, after: ViewRecord | undefined): boolean {
+function mustPublish(before: ViewRecord | undefined, after: ViewRecord | undefined): boolean {
   if (before?.kind !== RecordKind.Replica || after?.kind !== RecordKind.Replica) return true;
-  return gistOf(before.replica) !== gistOf(after.replica);
+  return publishedFields(before.replica) !== publishedFields(after.replica);
 }
 
-function gistOf({ models, ...rest }: ReplicaEntry): string {
+function publishedFields({ models, ...rest }: ReplicaEntry): string {
   return JSON.stringify([rest, models?.map(({ name, version }) => [name, version])]);
 }
--- a/packages/routing/src/core/view/store-watcher.ts
+++ b/packages/routing/src/core/view/store-watcher.ts
@@ -1,202 +1,214 @@
 /**
- * Keeps the view fresh: one daemon watches the source for all, and each of the others takes over when the view that
- * it hears grows old.
+ * Keeps this daemon's copy of the records up to date: one daemon watches the source for all, and another one
+ * takes over when the copy that it receives becomes too old.
  *
- * One reader costs one call for each batch of changes instead of one for each daemon; a call is priced, and the
- * source's rate does not grow with the fleet.
+ * With one reader, a batch of changes costs one call instead of one per daemon; calls are billed, and the
+ * rate of calls to the source does not grow with the fleet.
  */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
 import type { Delta, RecordSource } from './types.js';
 import type { ReplicatedStore } from './replicated-store.js';
 
-/** Longest wait of one watch: how old a quiet view may get, in milliseconds. A fifth of the least bound on changes (2 s) less the time to notice a silent source. */
+/**
+ * Longest wait of one watch: how old a quiet view may get, in milliseconds. A fifth of the least bound on
+ * changes (2 s) less the time to notice a silent source.
+ */
 const WATCH_WAIT_MS = 600;
-/** Time beyond the wait after which a watch without an answer is given up, in milliseconds. */
-const SILENCE_MS = 400;
-/** Longest time for reading everything, in milliseconds. */
+/** Time beyond the wait after which a watch without a response times out, in milliseconds. */
+const WATCH_GRACE_MS = 400;
+/** Timeout of reading all records, in milliseconds. */
 const LIST_TIMEOUT_MS = 1500;
-/** Pause between two watches, in milliseconds: changes of that time come in one call. */
-const BATCH_MS = 120;
+/** Pause between two watches, in milliseconds; changes made during it come in one call. */
+const READ_PAUSE_MS = 120;
 /**
- * Least part of that pause, and what chance adds to it, for a daemon that reads in place of others. It stops when it hears
- * of a later reading than its own, so two that read must not stay in step.
+ * Minimum share of that pause, and the maximum share that is added at random, for a daemon that has taken
+ * over. It stops when it receives a later result than its own, so two readers must not stay synchronized.
  */
-const LEAST_PAUSE_SHARE = 0.4;
-const CHANCE_PAUSE_SHARE = 1.6;
-/** Pause after a failed call, in milliseconds. */
-const RETRY_MS = 150;
-/** Age of the view at which the daemon next in rank reads for itself, in milliseconds. */
+const MIN_PAUSE_SHARE = 0.4;
+const RANDOM_PAUSE_SHARE = 1.6;
+/** Delay after a failed call, in milliseconds. */
+const RETRY_DELAY_MS = 150;
+/** Age of the copy at which the daemon next in rank takes over, in milliseconds. */
 const TAKE_OVER_AGE_MS = 1000;
 /**
- * Time by which those further down in rank wait longer, in milliseconds for each doubling of the rank: so a few take
- * over first, and many that can't read delay the others by little.
+ * Additional wait of daemons further down in rank, in milliseconds per doubling of the rank: a few take over
+ * first, and many that can't read delay the others only a little.
  */
 const TAKE_OVER_STEP_MS = 250;
 /**
- * Time after its start in which a daemon that knows no other waits for word of one, in milliseconds: where the whole
- * fleet starts for the first time, one of them reads for all.
+ * Time after its start for which a daemon that knows no other waits until it does, in milliseconds, so that
+ * at the first start of the fleet one daemon reads for all.
+ */
+const ALONE_WAIT_MS = 400;
+/**
+ * Time for which a restarted daemon waits for the records from a peer, in milliseconds; short, as callers may
+ * be waiting.
  */
-const ALONE_MS = 400;
-/** Time in which a daemon that starts again waits for the view of a peer, in milliseconds: callers may be waiting. */
 const RESTART_WAIT_MS = 60;
-/** How often a daemon that does not read looks at the view's age, in milliseconds. */
-const LOOK_MS = 100;
-/** The same until it has a view, in milliseconds. */
-const FIRST_LOOK_MS = 20;
+/** Interval at which a daemon that does not read checks the age of its copy, in milliseconds. */
+const CHECK_MS = 100;
+/** The same until it has the records, in milliseconds. */
+const INITIAL_CHECK_MS = 20;
 
-/** Options of a watcher. */
 export interface StoreWatcherOptions {
   readonly view: ReplicatedStore;
   readonly source: RecordSource;
   readonly timers: TimerService;
-  /** Place of this daemon among those that live, from 0; the first reads for all. Below 0 when it is leaving. */
+  /**
+   * Rank of this daemon among the live ones, from 0; the first reads for all. Below 0 if it is shutting down.
+   */
   readonly rank: () => number;
   /** Whether this daemon knows no other. */
   readonly isAlone: () => boolean;
   /** Whether the whole fleet starts for the first time, before any caller. */
   readonly isFirstStart: boolean;
-  /** A number from 0 to 1, drawn anew with each call. */
+  /** Random number from 0 to 1. */
   readonly random: () => number;
-  /** Gives what was read to the peers; told whether there were changes. */
-  readonly publish: (isNews: boolean) => void;
-  /** Told when the source is lost or regained. */
+  /** Publishes what was read to the peers; `hasChanges` says whether there were changes for them. */
+  readonly publish: (hasChanges: boolean) => void;
+  /** Called when the source becomes unreachable or reachable again. */
   readonly onSource: (isReachable: boolean, reason: string) => void;
-  /** Told when this daemon begins to read in place of those before it. */
+  /** Called when this daemon begins to read in place of those ranked before it. */
   readonly onTakeOver: (takeOver: TakeOver) => void;
 }
 
-/** Why a daemon reads although another one is to read for all. */
+/** State of a daemon that begins to read although another one is ranked before it. */
 export interface TakeOver {
-  /** Its place among those that live; below 0 when it is leaving. */
+  /** Its rank among the live daemons; below 0 if it is shutting down. */
   readonly rank: number;
-  /** Age of its view, in milliseconds; Infinity when it has none. */
+  /** Age of its copy, in milliseconds; Infinity if it has none. */
   readonly ageMs: number;
 }
 
-/** What the source has told. */
-interface Reading {
+/** Result of one call to the source. */
+interface ReadResult {
   readonly delta: Delta;
-  /** Monotonic time at which the source had no more than that, or a moment before, in milliseconds. */
+  /**
+   * Monotonic time at which the delta was known to be up to date, in milliseconds; it may be early, never
+   * late.
+   */
   readonly readAt: number;
 }
 
-/** The task that follows the source. */
+/** Reads from the source for as long as this daemon is responsible for it. */
 export class StoreWatcher {
   private readonly stopping = new AbortController();
 
   private readonly startedAt: number;
 
-  private looking: TimerHandle | undefined;
+  private checkTimer: TimerHandle | undefined;
 
   private isReading = false;
 
   private isReachable = true;
 
-  /** Monotonic time up to which this daemon's own readings confirm the view, in milliseconds. */
-  private ownReadAt = Number.NEGATIVE_INFINITY;
+  /** Monotonic time up to which this daemon's own calls confirm the copy, in milliseconds. */
+  private lastReadAt = Number.NEGATIVE_INFINITY;
 
-  /**
-   * Makes a watcher that has not started.
-   * @param options - View, source, rank.
-   */
   constructor(private readonly options: StoreWatcherOptions) {
     this.startedAt = options.timers.now();
   }
 
-  /** Follows the source until it is stopped. */
+  /** Starts to check whether this daemon must read, until it is stopped. */
   start(): void {
     const { timers } = this.options;
-    this.looking = timers.repeat(LOOK_MS, () => this.look());
-    void this.lookForFirst();
+    this.checkTimer = timers.repeat(CHECK_MS, () => this.check());
+    void this.checkUntilLoaded();
   }
 
-  private async lookForFirst(): Promise<void> {
+  private async checkUntilLoaded(): Promise<void> {
     while (this.options.view.upTo === 0 && !this.stopping.signal.aborted) {
-      this.look();
-      await this.options.timers.sleep(FIRST_LOOK_MS);
+      this.check();
+      await this.options.timers.sleep(INITIAL_CHECK_MS);
     }
   }
 
-  private look(): void {
-    if (!this.isReading && this.isMyTurn()) void this.read();
+  private check(): void {
+    if (!this.isReading && this.isResponsible()) void this.readWhileResponsible();
   }
 
-  /** Ends the task; a call that waits is given up. */
+  /** Stops the watcher and aborts the current call. */
   stop(): void {
-    this.looking?.cancel();
+    this.checkTimer?.cancel();
     this.stopping.abort();
   }
 
-  /** Reads as long as it is this daemon's turn. */
-  private async read(): Promise<void> {
+  /** Reads until another daemon does so in its place. */
+  private async readWhileResponsible(): Promise<void> {
     const { rank, view, onTakeOver } = this.options;
     this.isReading = true;
     if (rank() !== 0) onTakeOver({ rank: rank(), ageMs: view.ageMs });
-    while (!this.stopping.signal.aborted && (this.isMyTurn() || this.isNewestReader())) await this.readOnce();
+    while (!this.stopping.signal.aborted && (this.isResponsible() || this.isNewestReader()))
+      await this.readOnce();
     this.isReading = false;
   }
 
-  /** Whether nobody has read later than this daemon, so that the view would grow old if it stopped. */
+  /**
+   * Whether no later result than this daemon's own is known, so that the copy would become outdated if it
+   * stopped.
+   */
   private isNewestReader(): boolean {
     const { view, rank } = this.options;
-    return rank() >= 0 && view.confirmedAt <= this.ownReadAt;
+    return rank() >= 0 && view.confirmedAt <= this.lastReadAt;
   }
 
-  private isMyTurn(): boolean {
+  /** Whether this daemon must read: by its rank, or because its copy has become too old for its rank. */
+  private isResponsible(): boolean {
     const { view, rank, isAlone, isFirstStart, timers } = this.options;
     const sinceStartMs = timers.now() - this.startedAt;
     if (view.upTo === 0 && !isFirstStart) return sinceStartMs >= RESTART_WAIT_MS;
-    const place = rank();
-    if (place === 0) return !isAlone() || sinceStartMs >= ALONE_MS;
-    const doublings = place < 0 ? 0 : Math.floor(Math.log2(place + 1));
+    const position = rank();
+    if (position === 0) return !isAlone() || sinceStartMs >= ALONE_WAIT_MS;
+    const doublings = position < 0 ? 0 : Math.floor(Math.log2(position + 1));
     return Math.min(view.ageMs, sinceStartMs) > TAKE_OVER_AGE_MS + TAKE_OVER_STEP_MS * doublings;
   }
 
   private async readOnce(): Promise<void> {
     const { view, timers, publish } = this.options;
     try {
-      const { newsCount } = view;
+      const { publishableCount } = view;
       const { delta, readAt } = await this.fetch();
       view.apply(delta);
       view.confirm(delta.upTo, timers.now() - readAt);
-      this.ownReadAt = readAt;
-      this.note(true, '');
-      publish(view.newsCount > newsCount);
+      this.lastReadAt = readAt;
+      this.setReachable(true, '');
+      publish(view.publishableCount > publishableCount);
       await timers.sleep(this.pauseMs());
     } catch (err) {
-      this.note(false, String(err));
-      await timers.sleep(RETRY_MS);
+      this.setReachable(false, String(err));
+      await timers.sleep(RETRY_DELAY_MS);
     }
   }
 
   private pauseMs(): number {
     const { rank, random } = this.options;
-    return rank() === 0 ? BATCH_MS : BATCH_MS * (LEAST_PAUSE_SHARE + random() * CHANCE_PAUSE_SHARE);
+    return rank() === 0 ? READ_PAUSE_MS : READ_PAUSE_MS * (MIN_PAUSE_SHARE + random() * RANDOM_PAUSE_SHARE);
   }
 
-  private async fetch(): Promise<Reading> {
+  private async fetch(): Promise<ReadResult> {
     const { view, source, timers } = this.options;
     if (view.upTo === 0) return this.list();
     const startedAt = timers.now();
-    const delta = await this.within(WATCH_WAIT_MS + SILENCE_MS, (signal) =>
+    const delta = await this.withTimeout(WATCH_WAIT_MS + WATCH_GRACE_MS, (signal) =>
       source.watch(view.upTo, WATCH_WAIT_MS, signal),
     );
     if (delta === undefined) return this.list();
-    // An answer that came late may have been given early, unless the source had nothing to say until its wait was over.
+    // A response that arrives late may have been sent early, unless the source had no changes until the end
+    // of its wait.
     const hasWaited = delta.changes.length === 0 && timers.now() - startedAt >= WATCH_WAIT_MS;
     return { delta, readAt: hasWaited ? startedAt + WATCH_WAIT_MS : startedAt };
   }
 
-  private async list(): Promise<Reading> {
+  private async list(): Promise<ReadResult> {
     const readAt = this.options.timers.now();
-    const delta = await this.within(LIST_TIMEOUT_MS, (signal) => this.options.source.list(signal));
+    const delta = await this.withTimeout(LIST_TIMEOUT_MS, (signal) => this.options.source.list(signal));
     return { delta, readAt };
   }
 
-  private async within<T>(ms: number, call: (signal: AbortSignal) => Promise<T>): Promise<T> {
+  private async withTimeout<T>(ms: number, call: (signal: AbortSignal) => Promise<T>): Promise<T> {
     const limit = new AbortController();
-    const timer = this.options.timers.after(ms, () => limit.abort(new Error(`no answer within ${ms} ms`)));
+    const timer = this.options.timers.after(ms, () => limit.abort(new Error(`no response within ${ms} ms`)));
     const stop = (): void => limit.abort(new Error('stopping'));
     this.stopping.signal.addEventListener('abort', stop, { once: true });
     try {
@@ -207,7 +219,7 @@
     }
   }
 
-  private note(isReachable: boolean, reason: string): void {
+  private setReachable(isReachable: boolean, reason: string): void {
     if (this.isReachable === isReachable) return;
     this.isReachable = isReachable;
     this.options.onSource(isReachable, reason);
--- a/packages/routing/src/core/view/types.ts
+++ b/packages/routing/src/core/view/types.ts
@@ -1,66 +1,66 @@
-/** What daemons know of the platform: records with revisions, from its store or from each other. */
+/**
+ * Types of the platform's records; daemons get them with their revisions from its store or from each other.
+ */
 import type { RoutingDocument } from '../catalog/index.js';
 
-/** Whether a replica takes new work. */
+/** Whether a replica accepts new requests. */
 export enum ReplicaState {
   Ready = 'ready',
-  /** It is leaving; requests in progress go on. */
+  /** The replica is shutting down; requests in progress continue. */
   Leaving = 'leaving',
 }
 
-/** An adapter on an engine. */
-export interface HeldAdapter {
+/** An adapter that is resident on an engine. */
+export interface ResidentAdapter {
   readonly name: string;
   readonly version: number;
 }
 
-/** A base model on an engine, with its adapters. */
+/** A base model that is resident on an engine, with its adapters. */
 export interface HeldModel {
   readonly name: string;
   readonly version: number;
-  readonly adapters: readonly HeldAdapter[];
+  readonly adapters: readonly ResidentAdapter[];
 }
 
-/** What a replica says of itself in the registry. */
+/** A replica's entry in the platform's registry. */
 export interface ReplicaEntry {
-  /** Names one start of the replica in this project; see {@link replicaId}. */
+  /** Identifies one incarnation of the replica; see {@link replicaId}. */
   readonly id: string;
-  /** What the platform calls it; a later start may have the name of an earlier one. */
+  /** The platform's name; a later incarnation may have the same one. */
   readonly name: string;
-  /** Unix milliseconds of its start; undefined where it does not say. */
+  /** Unix milliseconds of its start; undefined if the entry does not state it. */
   readonly bornAt: number | undefined;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   /** Failure domain. */
   readonly zone: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly state: ReplicaState;
-  /** What it holds; undefined where it is no engine. */
+  /** Resident models; undefined if the replica is not an engine. */
   readonly models: readonly HeldModel[] | undefined;
 }
 
 /**
- * Names one start of a replica. A start holds nothing of an earlier one under the same name, so all that is believed
- * of a replica (adapters, slots, leases, connections, how it has answered) hangs on this.
- * @param name - What the platform calls it.
- * @param bornAt - Unix milliseconds of its start, where it says so.
- * @returns The id.
+ * Makes the id of one incarnation of a replica. Nothing of an earlier incarnation with the same name survives
+ * in it, so all state about a replica (adapters, slots, leases, connections, health) is stored under this id.
+ * @param bornAt - Unix milliseconds of the replica's start, if known.
  */
 export function replicaId(name: string, bornAt: number | undefined): string {
   return bornAt === undefined ? name : `${name}#${bornAt}`;
 }
 
-/** A start of a replica under a name that an earlier start had. */
+/** A restart of a replica under the same name. */
 export interface ReplicaStart {
-  /** What the platform calls it. */
+  /** The platform's name of the replica. */
   readonly name: string;
   /** Unix milliseconds. */
   readonly bornAt: number;
 }
 
-/** What a record is about. */
+/** Kind of a record. */
 export enum RecordKind {
   Document = 'document',
   AdapterVersion = 'adapterVersion',
@@ -74,7 +74,7 @@
   readonly version: number;
 }
 
-/** A record in the product's words. */
+/** A record of the platform's store, decoded. */
 export type ViewRecord =
   | { readonly kind: RecordKind.Document; readonly document: RoutingDocument }
   | { readonly kind: RecordKind.AdapterVersion; readonly declared: AdapterVersion }
@@ -83,36 +83,31 @@
 /** A change of one record. */
 export interface Change {
   readonly key: string;
-  /** The store's revision of this change. */
+  /** Revision of the store that this change made. */
   readonly revision: number;
-  /** Undefined when the record was removed. */
+  /** Undefined if the record was removed. */
   readonly record: ViewRecord | undefined;
 }
 
-/** Changes that carry a view from one revision to another. */
+/** Changes that bring a copy of the records from one revision to another. */
 export interface Delta {
-  /** A view that has all up to this revision may take the delta; 0 with `isWhole`. */
+  /** The delta applies to a copy that is complete up to this revision or a later one; 0 with `isWhole`. */
   readonly from: number;
   readonly upTo: number;
-  /** Whether the changes are the whole view, so that what they leave out is gone. */
+  /** Whether the changes contain all records, so that records missing from them were removed. */
   readonly isWhole: boolean;
   readonly changes: readonly Change[];
 }
 
-/** Where records are read; the platform's store or a stand-in. */
+/** Source of the records: the platform's store, or a stand-in in tests. */
 export interface RecordSource {
-  /**
-   * Reads everything.
-   * @param signal - Ends the call.
-   * @returns A whole delta.
-   */
+  /** Reads all records; returns a whole delta. */
   list(signal: AbortSignal): Promise<Delta>;
   /**
    * Waits for changes.
-   * @param after - Revision that is known.
-   * @param waitMs - Longest wait in milliseconds.
-   * @param signal - Ends the call.
-   * @returns The changes since, or undefined when the source no longer has that history.
+   * @param after - Revision that the caller has.
+   * @param waitMs - Maximum wait for the first change, in milliseconds.
+   * @returns The changes since, or undefined if the source no longer has that history.
    */
   watch(after: number, waitMs: number, signal: AbortSignal): Promise<Delta | undefined>;
 }
--- a/packages/routing/test/replicated-store.test.ts
+++ b/packages/routing/test/replicated-store.test.ts
@@ -1,4 +1,7 @@
-/** The view merges copies by revision, and never goes back. */
+/**
+ * Tests that the view merges changes by revision and never reverts, and that the registry indexes it by
+ * incarnation.
+ */
 import { createManualTimers } from '@celeryyoke/core';
 import type { Change, Delta } from '@celeryyoke/routing';
 import { ReplicaRegistry, RecordKind, replicaId, ReplicaState, ReplicatedStore } from '@celeryyoke/routing';
@@ -18,31 +21,31 @@
   return { from: 0, upTo, isWhole: true, changes };
 }
 
-function part(from: number, upTo: number, ...changes: Change[]): Delta {
+function delta(from: number, upTo: number, ...changes: Change[]): Delta {
   return { from, upTo, isWhole: false, changes };
 }
 
-test('a delta that begins behind what is known is refused until a whole copy has come', (t) => {
+test('a delta that starts after the known revision is refused until a whole delta was applied', (t) => {
   const view = new ReplicatedStore(createManualTimers());
-  t.false(view.apply(part(3, 5)));
+  t.false(view.apply(delta(3, 5)));
   t.true(view.apply(whole(5, replica('a', 4))));
-  t.false(view.apply(part(7, 9)));
-  t.true(view.apply(part(4, 6, replica('b', 6))));
+  t.false(view.apply(delta(7, 9)));
+  t.true(view.apply(delta(4, 6, replica('b', 6))));
   t.is(view.upTo, 6);
 });
 
-test('an older copy changes nothing, whichever way it comes', (t) => {
+test('an older delta has no effect, whole or not', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
   view.apply(whole(9, replica('a', 8, ReplicaState.Leaving)));
   view.apply(whole(5, replica('a', 4)));
-  view.apply(part(3, 5, replica('a', 4)));
+  view.apply(delta(3, 5, replica('a', 4)));
   t.is(registry.replica('a')?.state, ReplicaState.Leaving);
   t.is(view.upTo, 9);
 });
 
-test('what a newer whole copy leaves out is gone', (t) => {
+test('records missing from a newer whole delta are removed', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
@@ -52,10 +55,10 @@
   t.not(registry.replica('b'), undefined);
 });
 
-test('a lagging copy gets the changes it lacks, and a whole copy when it lags too far', (t) => {
+test('a lagging copy gets the changes it lacks, and a whole delta if it lags too far', (t) => {
   const view = new ReplicatedStore(createManualTimers());
   view.apply(whole(5, replica('a', 5)));
-  view.apply(part(5, 6, replica('b', 6)));
+  view.apply(delta(5, 6, replica('b', 6)));
   const { isWhole, changes } = view.since(5);
   t.false(isWhole);
   t.deepEqual(
@@ -65,7 +68,7 @@
   t.true(view.since(2).isWhole);
 });
 
-test('a confirmation counts only for the revision that is held', (t) => {
+test('a confirmation counts only up to the revision of the view', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   view.apply(whole(5));
@@ -75,7 +78,7 @@
   t.is(view.ageMs, 40);
 });
 
-test('the configuration in force never goes back', (t) => {
+test('the configuration in force never reverts to an older version', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
@@ -85,21 +88,21 @@
     record: { kind: RecordKind.Document, document: sampleDocument(version) },
   });
   view.apply(whole(5, document(7, 5)));
-  view.apply(part(5, 6, document(3, 6)));
+  view.apply(delta(5, 6, document(3, 6)));
   t.is(registry.table?.document.version, 7);
 });
 
-test('a replica that left may be chosen for a moment, and only where its service has no other', async (t) => {
+test('a replica that left may be chosen briefly, and only if its service has no other', async (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
   view.apply(whole(5, replica('a', 2), replica('b', 3)));
-  view.apply(part(5, 6, { key: 'r/a', revision: 6, record: undefined }));
+  view.apply(delta(5, 6, { key: 'r/a', revision: 6, record: undefined }));
   t.deepEqual(
     registry.ready('engines').map(({ id }) => id),
     ['b'],
   );
-  view.apply(part(6, 7, replica('b', 7, ReplicaState.Leaving)));
+  view.apply(delta(6, 7, replica('b', 7, ReplicaState.Leaving)));
   t.deepEqual(
     registry
       .ready('engines')
@@ -111,56 +114,56 @@
   t.deepEqual(registry.ready('engines'), []);
 });
 
-/** An entry of one start of a replica. */
-function started(name: string, bornAt: number | undefined, revision: number): Change {
+/** A change with the entry of one incarnation of a replica. */
+function replicaWithStart(name: string, bornAt: number | undefined, revision: number): Change {
   const entry = { ...engineEntry(name), id: replicaId(name, bornAt), bornAt };
   return { key: `r/${name}`, revision, record: { kind: RecordKind.Replica, replica: entry } };
 }
 
-function directoryOfStarts() {
+function setUpRegistry() {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
-  const told: string[] = [];
-  registry.onReplica((id, entry) => told.push(entry === undefined ? `${id} gone` : id));
+  const events: string[] = [];
+  registry.onReplica((id, entry) => events.push(entry === undefined ? `${id} gone` : id));
   const ids = () => [...registry.all()].map(({ id }) => id);
-  return { view, registry, told, ids };
+  return { view, registry, events, ids };
 }
 
-test('a replica that starts again under its name is another one, and the earlier start is gone', (t) => {
-  const { view, told, ids } = directoryOfStarts();
-  view.apply(whole(5, started('a', 1000, 2)));
-  view.apply(part(5, 6, started('a', 2000, 6)));
+test('a replica that restarts under its name is a new one, and the earlier one is removed', (t) => {
+  const { view, events, ids } = setUpRegistry();
+  view.apply(whole(5, replicaWithStart('a', 1000, 2)));
+  view.apply(delta(5, 6, replicaWithStart('a', 2000, 6)));
   t.deepEqual(ids(), ['a#2000']);
-  t.deepEqual(told, ['a#1000', 'a#1000 gone', 'a#2000']);
+  t.deepEqual(events, ['a#1000', 'a#1000 gone', 'a#2000']);
 });
 
-test('an entry of an earlier start never replaces that of a later one, also not after its removal', (t) => {
-  const { view, ids } = directoryOfStarts();
-  view.apply(whole(5, started('a', 2000, 2)));
-  view.apply(part(5, 6, started('a', 1000, 6)));
+test('an entry of an earlier incarnation never replaces a later one, even after its removal', (t) => {
+  const { view, ids } = setUpRegistry();
+  view.apply(whole(5, replicaWithStart('a', 2000, 2)));
+  view.apply(delta(5, 6, replicaWithStart('a', 1000, 6)));
   t.deepEqual(ids(), ['a#2000']);
-  view.apply(part(6, 7, { key: 'r/a', revision: 7, record: undefined }));
-  view.apply(part(7, 8, started('a', 1000, 8)));
+  view.apply(delta(6, 7, { key: 'r/a', revision: 7, record: undefined }));
+  view.apply(delta(7, 8, replicaWithStart('a', 1000, 8)));
   t.deepEqual(ids(), []);
-  view.apply(part(8, 9, started('a', undefined, 9)));
+  view.apply(delta(8, 9, replicaWithStart('a', undefined, 9)));
   t.deepEqual(ids(), ['a#2000']);
 });
 
-test('a start that the replica itself or a peer told counts before its entry shows it, and holds nothing', (t) => {
-  const { view, registry, ids } = directoryOfStarts();
-  view.apply(whole(5, started('a', 1000, 2)));
+test('a reported start replaces the entry before the store shows it, with no resident models', (t) => {
+  const { view, registry, ids } = setUpRegistry();
+  view.apply(whole(5, replicaWithStart('a', 1000, 2)));
   t.true(registry.noteStart({ name: 'a', bornAt: 2000 }));
   t.deepEqual(ids(), ['a#2000']);
   t.deepEqual(registry.replica('a#2000')?.models, []);
-  view.apply(part(5, 6, started('a', 1000, 6)));
+  view.apply(delta(5, 6, replicaWithStart('a', 1000, 6)));
   t.deepEqual(ids(), ['a#2000']);
   t.false(registry.noteStart({ name: 'a', bornAt: 1500 }));
 });
 
-test('an entry that says nothing new is not passed on, and stands in a whole copy', (t) => {
+test('a change of resident adapters alone is not published, and is contained in a whole delta', (t) => {
   const view = new ReplicatedStore(createManualTimers());
-  const holding = (revision: number, ...names: string[]): Change => {
+  const withAdapters = (revision: number, ...names: string[]): Change => {
     const adapters = names.map((name) => ({ name, version: 1 }));
     const models = [{ name: 'base', version: 1, adapters }];
     return {
@@ -169,16 +172,16 @@
       record: { kind: RecordKind.Replica, replica: engineEntry('a', models) },
     };
   };
-  view.apply(whole(5, holding(2)));
-  view.apply(part(5, 6, holding(6, 'a1')));
-  view.apply(part(6, 7, replica('a', 7, ReplicaState.Leaving)));
+  view.apply(whole(5, withAdapters(2)));
+  view.apply(delta(5, 6, withAdapters(6, 'a1')));
+  view.apply(delta(6, 7, replica('a', 7, ReplicaState.Leaving)));
   t.deepEqual(
     view.since(5).changes.map(({ revision }) => revision),
     [7],
   );
   t.is(view.since(5).upTo, 7);
-  view.apply(part(7, 8, holding(8, 'a1')));
-  view.apply(part(8, 9, holding(9, 'a1', 'a2')));
+  view.apply(delta(7, 8, withAdapters(8, 'a1')));
+  view.apply(delta(8, 9, withAdapters(9, 'a1', 'a2')));
   t.deepEqual(view.since(8).changes, []);
   const [entry] = view.since(0).changes;
   t.is(entry?.revision, 9);
--- a/packages/routing/test/residency-rows.test.ts
+++ b/packages/routing/test/residency-rows.test.ts
@@ -1,4 +1,7 @@
-/** The rows that owners of engines publish: what is written is read, and the latest owner is believed. */
+/**
+ * Tests the residency rows that owners of engines publish: their encoding, and that the latest owner's row
+ * wins.
+ */
 import { decode, encode } from '@celeryyoke/core';
 import type { ResidencyRow } from '@celeryyoke/routing';
 import { decodeResidency, encodeResidency, VersionedTable } from '@celeryyoke/routing';
@@ -12,17 +15,17 @@
   adapters: { 'base/a1': 1, 'base/a207': 3 },
 });
 
-test('resident adapters read as they were written, and name their model once', (t) => {
+test('a decoded residency row equals the encoded one, whose frame names each model once', (t) => {
   const adapters = Object.fromEntries(
     Array.from({ length: 11 }, (_, index) => [`dele69a/a${index * 371}`, 1]),
   );
-  const told: ResidencyRow = { ...row(7_248_338_534_400_123, 12), models: ['dele69a'], adapters };
-  const frame = encode(encodeResidency(told));
-  t.deepEqual(decodeResidency(decode(frame)), told);
+  const published: ResidencyRow = { ...row(7_248_338_534_400_123, 12), models: ['dele69a'], adapters };
+  const frame = encode(encodeResidency(published));
+  t.deepEqual(decodeResidency(decode(frame)), published);
   t.true(frame.length <= 120, `${frame.length} bytes`);
 });
 
-test('a later row wins, and any row of a later owner', (t) => {
+test('a row with a higher token wins, then one with a higher sequence', (t) => {
   const table = new VersionedTable<ResidencyRow>(() => true);
   t.true(table.merge(row(1, 5)));
   t.false(table.merge(row(1, 5)));
@@ -32,7 +35,7 @@
   t.is(table.get('i-0c3d9aaac9')?.token, 2);
 });
 
-test('rows of engines that the registry does not list are not passed on', (t) => {
+test('rows of engines that the registry does not list are not published', (t) => {
   const listed = new Set<string>();
   const table = new VersionedTable<ResidencyRow>((replica) => listed.has(replica));
   table.merge(row(1, 1));
--- a/packages/routing/test/store-watcher.test.ts
+++ b/packages/routing/test/store-watcher.test.ts
@@ -1,4 +1,4 @@
-/** Who reads the platform's store: one for all, and others when that one does not. */
+/** Tests which daemon reads the platform's store: one for all, and others when that one does not. */
 import { createManualTimers } from '@celeryyoke/core';
 import type { Delta, TakeOver } from '@celeryyoke/routing';
 import { StoreWatcher, ReplicatedStore } from '@celeryyoke/routing';
@@ -16,7 +16,7 @@
   const view = new ReplicatedStore(timers);
   const calls = { list: 0, watch: 0 };
   const takeOvers: TakeOver[] = [];
-  const answer = (delta: Delta): Promise<Delta> =>
+  const respond = (delta: Delta): Promise<Delta> =>
     fails ? Promise.reject(new Error('down')) : Promise.resolve(delta);
   const watcher = new StoreWatcher({
     view,
@@ -28,12 +28,12 @@
     source: {
       list: () => {
         calls.list += 1;
-        return answer({ from: 0, upTo: 7, isWhole: true, changes: [] });
+        return respond({ from: 0, upTo: 7, isWhole: true, changes: [] });
       },
       watch: async (after) => {
         calls.watch += 1;
         await timers.sleep(600);
-        return answer({ from: after, upTo: after, isWhole: false, changes: [] });
+        return respond({ from: after, upTo: after, isWhole: false, changes: [] });
       },
     },
     publish: () => undefined,
@@ -41,20 +41,20 @@
     onTakeOver: (takeOver) => takeOvers.push(takeOver),
   });
   watcher.start();
-  const takeView = (): void => {
+  const receiveView = (): void => {
     view.apply({ from: 0, upTo: 7, isWhole: true, changes: [] });
     view.confirm(7, 0);
   };
-  return { timers, view, calls, takeOvers, watcher, takeView };
+  return { timers, view, calls, takeOvers, watcher, receiveView };
 }
 
-test('where the fleet starts for the first time, only the first of the daemons lists the store', async (t) => {
+test('at the first start of the fleet, only the first daemon lists the store', async (t) => {
   let lists = 0;
-  for (let place = 0; place < 195; place += 1) {
-    const { timers, calls, watcher, takeView } = setUp({ rank: () => place, isFirstStart: true });
+  for (let position = 0; position < 195; position += 1) {
+    const { timers, calls, watcher, receiveView } = setUp({ rank: () => position, isFirstStart: true });
     await timers.advance(300);
-    // The others have the view from the first one by then.
-    if (place > 0) takeView();
+    // By then the others have received the view from the first one.
+    if (position > 0) receiveView();
     await timers.advance(400);
     watcher.stop();
     lists += calls.list;
@@ -62,7 +62,7 @@
   t.is(lists, 1);
 });
 
-test('a daemon that knows no other yet waits for one at a first start', async (t) => {
+test('at the first start, a daemon that knows no other waits before it reads', async (t) => {
   const { timers, calls } = setUp({ isAlone: () => true, isFirstStart: true });
   await timers.advance(350);
   t.is(calls.list, 0);
@@ -70,24 +70,24 @@
   t.is(calls.list, 1);
 });
 
-test('a daemon that starts again reads at once unless a peer has told it', async (t) => {
+test('a restarted daemon reads immediately unless it has received the view from a peer', async (t) => {
   const { timers, view } = setUp({ rank: () => 5 });
   await timers.advance(120);
   t.is(view.upTo, 7);
-  const told = setUp({ rank: () => 5 });
-  await told.timers.advance(30);
-  told.takeView();
-  await told.timers.advance(500);
-  t.deepEqual(told.calls, { list: 0, watch: 0 });
+  const informed = setUp({ rank: () => 5 });
+  await informed.timers.advance(30);
+  informed.receiveView();
+  await informed.timers.advance(500);
+  t.deepEqual(informed.calls, { list: 0, watch: 0 });
 });
 
-test('when the first one can’t read, a few others do, and more the longer it lasts', async (t) => {
+test('when the first daemon can’t read, a few others do, and more the longer it lasts', async (t) => {
   const readers: number[] = [];
   for (const afterMs of [1150, 1400, 1900, 3500]) {
     let reading = 0;
-    for (let place = 1; place < 195; place += 1) {
-      const { timers, calls, watcher, takeView } = setUp({ rank: () => place });
-      takeView();
+    for (let position = 1; position < 195; position += 1) {
+      const { timers, calls, watcher, receiveView } = setUp({ rank: () => position });
+      receiveView();
       await timers.advance(afterMs);
       watcher.stop();
       if (calls.watch > 0) reading += 1;
@@ -99,15 +99,15 @@
   t.is(readers[3], 194);
 });
 
-test('an outage does not end the watch for its end', async (t) => {
+test('a daemon continues to retry during an outage of the store', async (t) => {
   const { timers, calls } = setUp({ fails: true });
   await timers.advance(1000);
   t.true(calls.list >= 4 && calls.list <= 8, `${calls.list} calls`);
 });
 
-test('a daemon that reads in place of another one says so, with its rank and the age of its view', async (t) => {
-  const { timers, takeOvers, takeView } = setUp({ rank: () => 1 });
-  takeView();
+test('a daemon that takes over reports it, with its rank and the age of its view', async (t) => {
+  const { timers, takeOvers, receiveView } = setUp({ rank: () => 1 });
+  receiveView();
   await timers.advance(1200);
   t.deepEqual(takeOvers, []);
   await timers.advance(200);
