--- a/packages/routing/src/core/daemon/engine-rows.ts
+++ b/packages/routing/src/core/daemon/engine-rows.ts
@@ -1,16 +1,16 @@
-/** What the owner of an engine publishes of it, and its form between daemons. */
+/** Rows of shared state that the owner of an engine publishes about it, and their encoding. */
 import type { Holdings } from '../adapters/index.js';
 import type { EngineRow } from '../dissemination/index.js';
 
 /** Free slots of an engine and the requests in flight on it. */
 export interface EngineLoadRow extends EngineRow {
-  /** Adapter slots that are free or could be freed at once; below 0 when the engine can't be reached. */
+  /** Adapter slots that are free or could be freed immediately; below 0 if the engine can't be reached. */
   readonly freeSlots: number;
-  /** Loads that wait for a slot. */
+  /** Adapter loads that wait for a slot. */
   readonly queued: number;
-  /** Requests in flight, over all daemons. */
+  /** Requests in flight, summed over all daemons. */
   readonly running: number;
-  /** Those of them without an answer yet. */
+  /** Those of them without a response yet. */
   readonly waiting: number;
 }
 
@@ -19,7 +19,7 @@
 
 type LoadFrame = readonly [string, number, number, number, number, number, number];
 
-/** By model: its name, and names and versions of its adapters in turn. */
+/** A model and its adapters: their names and versions alternate in one list. */
 type ModelFrame = readonly [model: string, adapters: readonly (string | number)[]];
 
 type ResidencyFrame = readonly [
@@ -29,29 +29,19 @@
   models: readonly ModelFrame[],
 ];
 
-/**
- * Encodes free slots and requests in flight.
- * @param row - The row.
- * @returns Its compact form.
- */
 export function encodeEngineLoad(row: EngineLoadRow): LoadFrame {
   return [row.replica, row.token, row.sequence, row.freeSlots, row.queued, row.running, row.waiting];
 }
 
-/**
- * Decodes free slots and requests in flight.
- * @param wire - Their compact form.
- * @returns The row.
- */
-export function decodeEngineLoad(wire: unknown): EngineLoadRow {
-  const [replica, token, sequence, freeSlots, queued, running, waiting] = wire as LoadFrame;
+/** Decodes a load row; the frame's types are not checked. */
+export function decodeEngineLoad(frame: unknown): EngineLoadRow {
+  const [replica, token, sequence, freeSlots, queued, running, waiting] = frame as LoadFrame;
   return { replica, token, sequence, freeSlots, queued, running, waiting };
 }
 
 /**
- * Encodes resident adapters; the name of a model is written once.
- * @param row - The row.
- * @returns Its compact form.
+ * Encodes resident adapters by model, so that the name of a model is written once; adapters of a model that
+ * is not in `models` are left out.
  */
 export function encodeResidency({
   replica,
@@ -68,13 +58,9 @@
   return [replica, token, sequence, [...byModel]];
 }
 
-/**
- * Decodes resident adapters.
- * @param wire - Their compact form.
- * @returns The row.
- */
-export function decodeResidency(wire: unknown): ResidencyRow {
-  const [replica, token, sequence, byModel] = wire as ResidencyFrame;
+/** Decodes a residency row; the frame's types are not checked. */
+export function decodeResidency(frame: unknown): ResidencyRow {
+  const [replica, token, sequence, byModel] = frame as ResidencyFrame;
   const adapters: Record<string, number> = {};
   for (const [model, flat] of byModel)
     for (let index = 0; index < flat.length; index += 2)
--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -1,8 +1,8 @@
 /**
- * Reports this daemon's requests to the owners of the engines on which they run.
+ * Reports this daemon's requests in flight to the owners of the engines on which they run.
  *
- * A change is reported soon after it, together with others for the same owner; the whole now and then, so that an owner
- * that is new, or has missed a report, comes to know all of it.
+ * Changes are reported in small batches per owner; full reports follow at an interval, so that an owner that
+ * is new, or has missed a report, gets the complete state.
  */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
@@ -13,10 +13,10 @@
 import type { Cluster } from '../cluster/index.js';
 import { MessageType } from '../cluster/index.js';
 
-/** Time for which changes are collected, in milliseconds. */
+/** Time for which changes are collected before they are reported, in milliseconds. */
 const BATCH_MS = 15;
-/** Interval of whole reports, in milliseconds. */
-const WHOLE_REPORT_MS = 1000;
+/** Interval of full reports, in milliseconds. */
+const FULL_REPORT_MS = 1000;
 
 /** What the reporter uses of the daemon. */
 export interface InFlightReporterOptions {
@@ -29,43 +29,38 @@
   readonly timers: TimerService;
 }
 
-interface OpenReport {
+interface ReportDraft {
   readonly replicas: ReplicaInFlight[];
   readonly adapters: AdapterInFlight[];
 }
 
-/** Reports requests in flight. */
+/** Follows the table of requests in flight and reports it to the owners of engines. */
 export class InFlightReporter {
-  /** Adapters whose counts have changed since they were reported, by replica. */
+  /** Adapters whose counts have changed since they were last reported, by replica. */
   private readonly changed = new Map<string, Set<string>>();
 
-  /** Owners that know of requests of this daemon by the last whole report. */
+  /** Owners to which the last full report listed requests. */
   private informedOwners: readonly string[] = [];
 
   private flushTimer: TimerHandle | undefined;
 
-  private readonly ticking: TimerHandle;
+  private readonly fullReportTimer: TimerHandle;
 
-  /**
-   * Makes a reporter that follows the table.
-   * @param options - The daemon's parts.
-   */
   constructor(private readonly options: InFlightReporterOptions) {
     const { inFlight, timers } = options;
-    inFlight.onChange((replica, key) => this.noteChange(replica, key));
-    this.ticking = timers.repeat(WHOLE_REPORT_MS, () => this.reportAll());
+    inFlight.onChange((replica, key) => this.recordChange(replica, key));
+    this.fullReportTimer = timers.repeat(FULL_REPORT_MS, () => this.reportAll());
   }
 
-  /** Ends the reports. */
+  /** Cancels the timers. */
   stop(): void {
-    this.ticking.cancel();
+    this.fullReportTimer.cancel();
     this.flushTimer?.cancel();
   }
 
   /**
-   * Takes the changes on one replica out, to be sent along with another message to its owner.
-   * @param replica - The replica.
-   * @returns The changes that are not reported yet.
+   * Removes and returns the unreported changes on a replica, to be sent along with another message to its
+   * owner.
    */
   takeChanges(replica: string): InFlightReport {
     const { inFlight } = this.options;
@@ -76,21 +71,21 @@
   }
 
   /**
-   * Reports all requests on a replica that has another owner: that one may take an adapter away which it believes unused.
-   * @param replica - The replica.
+   * Reports all requests on a replica to its new owner, which might otherwise unload an adapter that it
+   * considers unused.
    */
   noteOwner(replica: string): void {
     const { inFlight } = this.options;
-    for (const key of inFlight.ownKeys(replica)) this.noteChange(replica, key);
-    if (inFlight.ownOf(replica).running > 0) this.noteChange(replica, undefined);
+    for (const key of inFlight.ownKeys(replica)) this.recordChange(replica, key);
+    if (inFlight.ownOf(replica).running > 0) this.recordChange(replica, undefined);
   }
 
-  private noteChange(replica: string, key: string | undefined): void {
+  private recordChange(replica: string, key: string | undefined): void {
     const { leases, self, timers, loader, inFlight } = this.options;
     const owner = leases.of(replica)?.holder;
     if (owner === undefined) return;
     if (owner === self) {
-      if (key !== undefined) this.countHere(replica, key);
+      if (key !== undefined) this.countLocally(replica, key);
       loader.setRunning(replica, () => inFlight.runningByAdapter(replica));
       return;
     }
@@ -100,33 +95,33 @@
     this.flushTimer ??= timers.after(BATCH_MS, () => this.flush());
   }
 
-  private countHere(replica: string, key: string): void {
+  private countLocally(replica: string, key: string): void {
     const { begun } = this.options.inFlight.takeOwnUse(replica, key);
     if (begun > 0) this.options.loader.use(replica, key, begun);
   }
 
   private flush(): void {
     this.flushTimer = undefined;
-    const reports = new Map<string, OpenReport>();
+    const reports = new Map<string, ReportDraft>();
     for (const replica of [...this.changed.keys()]) {
       const owner = this.options.leases.of(replica)?.holder;
       const { replicas, adapters } = this.takeChanges(replica);
-      if (owner !== undefined && owner !== this.options.self) add(reports, owner, replicas, adapters);
+      if (owner !== undefined && owner !== this.options.self) addToReport(reports, owner, replicas, adapters);
     }
     this.send(reports, false);
   }
 
   private reportAll(): void {
     const { inFlight, leases, self } = this.options;
-    const reports = new Map<string, OpenReport>();
-    // One that was told of requests hears also that there are none any more.
-    for (const owner of this.informedOwners) add(reports, owner, [], []);
+    const reports = new Map<string, ReportDraft>();
+    // An owner to which requests were reported must also learn that none are left.
+    for (const owner of this.informedOwners) addToReport(reports, owner, [], []);
     for (const replica of inFlight.ownReplicas()) {
       const owner = leases.of(replica)?.holder;
       if (owner === undefined || owner === self) continue;
       this.changed.delete(replica);
       const adapters = inFlight.ownKeys(replica).map((key) => inFlight.takeOwnUse(replica, key));
-      add(reports, owner, [inFlight.ownOf(replica)], adapters);
+      addToReport(reports, owner, [inFlight.ownOf(replica)], adapters);
     }
     this.send(reports, true);
     this.informedOwners = [...reports]
@@ -134,7 +129,7 @@
       .map(([owner]) => owner);
   }
 
-  private send(reports: ReadonlyMap<string, OpenReport>, isWhole: boolean): void {
+  private send(reports: ReadonlyMap<string, ReportDraft>, isWhole: boolean): void {
     for (const [owner, { replicas, adapters }] of reports) {
       const report: InFlightReport = { isWhole, replicas, adapters };
       this.options.cluster.send(owner, MessageType.InFlight, encodeInFlight(report));
@@ -142,8 +137,8 @@
   }
 }
 
-function add(
-  reports: Map<string, OpenReport>,
+function addToReport(
+  reports: Map<string, ReportDraft>,
   owner: string,
   replicas: readonly ReplicaInFlight[],
   adapters: readonly AdapterInFlight[],
--- a/packages/routing/src/core/daemon/index.ts
+++ b/packages/routing/src/core/daemon/index.ts
@@ -1,4 +1,4 @@
-/** The router daemon. */
+/** The router daemon: its settings, its parts, and its protocol with peers. */
 export { decodeResidency, encodeResidency } from './engine-rows.js';
 export type { ResidencyRow } from './engine-rows.js';
 export { InFlightReporter } from './in-flight-reporter.js';
--- a/packages/routing/src/core/daemon/member-log.ts
+++ b/packages/routing/src/core/daemon/member-log.ts
@@ -1,23 +1,23 @@
-/** Logs changes of the members together: after a partition or a restart of all there is one for each of them. */
+/**
+ * Logs state changes of members in batches, as after a partition or a restart of the fleet every member
+ * changes at once.
+ */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
 import type { MemberRecord, MemberState } from '../cluster/index.js';
 
-/** Time for which changes are collected, in milliseconds. */
+/** Time for which changes are collected before they are logged, in milliseconds. */
 const BATCH_MS = 500;
-/** Members that one line names of each state; the others are counted. */
-const MAX_NAMED = 20;
+/** Maximum number of members that a log line lists; the others are only counted. */
+const MAX_LISTED = 20;
 
-/** Collects changes of members and logs them. */
+/** Logs one line per new state, with the members that have it. */
 export class MemberLog {
   /** The latest state of each member that has changed. */
   private readonly changed = new Map<string, MemberState>();
 
   /**
-   * Makes a log without changes.
-   * @param log - Where the lines go.
-   * @param timers - Time.
-   * @param alive - Counts the living members.
+   * @param alive - Returns the number of live members.
    */
   constructor(
     private readonly log: DecisionLog,
@@ -25,11 +25,8 @@
     private readonly alive: () => number,
   ) {}
 
-  /**
-   * Notes a change.
-   * @param record - The member's record after it.
-   */
-  note({ address, state }: MemberRecord): void {
+  /** Records a change, given the member's record after it. */
+  record({ address, state }: MemberRecord): void {
     if (this.changed.size === 0) this.timers.after(BATCH_MS, () => this.flush());
     this.changed.set(address, state);
   }
@@ -46,7 +43,7 @@
       this.log.decide('peer.state', `${addresses.length} peers are ${state}.`, {
         state,
         count: addresses.length,
-        peers: addresses.slice(0, MAX_NAMED).join(' '),
+        peers: addresses.slice(0, MAX_LISTED).join(' '),
         alive: this.alive(),
       });
   }
--- a/packages/routing/src/core/daemon/figures.ts
+++ b/packages/routing/src/core/daemon/metrics.ts
@@ -1,4 +1,4 @@
-/** The figures of a daemon, and the listener that serves them as text. */
+/** The sampled metrics of a daemon, and the HTTP server that exposes all metrics as text. */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 
@@ -13,8 +13,8 @@
 
 const OK = 200;
 
-/** What the figures are read from. */
-export interface FigureParts {
+/** Parts of the daemon from which metrics are sampled. */
+export interface MetricSources {
   readonly metrics: Metrics;
   readonly view: ReplicatedStore;
   readonly cluster: Cluster;
@@ -27,13 +27,10 @@
   readonly configVersion: () => number;
 }
 
-/**
- * Registers the figures that are read when they are asked for.
- * @param parts - What they are read from.
- */
-export function registerFigures(parts: FigureParts): void {
+/** Registers the metrics whose values are sampled when the metrics are requested. */
+export function registerMetrics(sources: MetricSources): void {
   const { metrics, view, cluster, tree, leases, channels, pauses, requests, droppedLines, configVersion } =
-    parts;
+    sources;
   const counter = { isCounter: true };
   metrics.sample('router_requests_running', 'Requests in progress.', () => requests.running);
   metrics.sample('router_view_age_ms', 'Age of what is known of the platform.', () => view.ageMs);
@@ -71,14 +68,8 @@
   registerProcessCost(metrics);
 }
 
-/**
- * Serves the figures at any path.
- * @param host - Address of this daemon.
- * @param port - Port.
- * @param metrics - The figures.
- * @returns The listener.
- */
-export async function listenForFigures(host: string, port: number, metrics: Metrics): Promise<Server> {
+/** Starts an HTTP server that exposes the metrics at every path. */
+export async function startMetricsServer(host: string, port: number, metrics: Metrics): Promise<Server> {
   const server = createServer((_req, res) => {
     res.writeHead(OK, { 'content-type': 'text/plain; version=0.0.4' });
     res.end(metrics.render());
--- a/packages/routing/src/core/daemon/names.ts
+++ b/packages/routing/src/core/daemon/part-names.ts
@@ -1,10 +1,8 @@
-/** Names of the parts of a router daemon. */
-
-/** Names under which the parts find each other. */
+/** Names under which the parts of a router daemon are registered at its kernel and look each other up. */
 export const PART = {
   view: 'view',
   registry: 'directory',
-  pauses: 'pauses',
+  pauseDetector: 'pauses',
   cluster: 'cluster',
   leases: 'leases',
   channels: 'channels',
@@ -25,6 +23,6 @@
   requests: 'requests',
   readiness: 'readiness',
   metrics: 'metrics',
-  figures: 'figures',
-  reviews: 'reviews',
+  metricsServer: 'figures',
+  leaseReviews: 'reviews',
 } as const;
--- a/packages/routing/src/core/daemon/peer-protocol.ts
+++ b/packages/routing/src/core/daemon/peer-protocol.ts
@@ -1,4 +1,4 @@
-/** What router daemons tell each other: the topics of the shared state, and the questions to owners of engines. */
+/** Messages between router daemons: the topics of the shared state, and the requests to owners of engines. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
 import type { EnsureWanted, Holdings, ResidencyTable, Loader } from '../adapters/index.js';
@@ -14,12 +14,15 @@
 import { decodeEngineLoad, decodeResidency, encodeEngineLoad, encodeResidency } from './engine-rows.js';
 import type { InFlightReporter } from './in-flight-reporter.js';
 
-/** How often an owner looks whether the load of its engines has changed, in milliseconds. */
-const LOAD_MS = 200;
-/** Longest time between two rows on the load of an engine, in milliseconds, so that an old row shows that its owner is gone. */
-const LOAD_REFRESH_MS = 800;
+/** Interval at which an owner checks whether the load of its engines has changed, in milliseconds. */
+const LOAD_CHECK_MS = 200;
+/**
+ * Maximum time between two load rows of an engine, in milliseconds, so that an old row shows that its owner
+ * is gone.
+ */
+const MAX_LOAD_AGE_MS = 800;
 
-/** What the protocol uses of the daemon. */
+/** Parts of the daemon that the protocol connects with its peers. */
 export interface PeerProtocolOptions {
   readonly cluster: Cluster;
   readonly tree: DisseminationTree;
@@ -38,27 +41,24 @@
   readonly at: number;
 }
 
-/** The protocol between router daemons. */
+/** Publishes what this daemon owns, and merges what its peers publish and report. */
 export class PeerProtocol {
-  private readonly loads: VersionedTable<EngineLoadRow>;
+  private readonly loadRows: VersionedTable<EngineLoadRow>;
 
   private readonly residencyRows: VersionedTable<ResidencyRow>;
 
-  /** What this daemon published last of each of its engines. */
-  private readonly published = new Map<string, PublishedLoad>();
+  /** Last load row that this daemon published, by engine. */
+  private readonly lastPublished = new Map<string, PublishedLoad>();
 
   private sequence = 0;
 
-  private readonly ticking: TimerHandle;
+  private readonly loadTimer: TimerHandle;
 
-  /**
-   * Registers the topics and the handlers of all messages.
-   * @param options - The parts that talk.
-   */
+  /** Registers the topics and the message handlers. */
   constructor(private readonly options: PeerProtocolOptions) {
     const { cluster, registry, loader, tree, timers } = options;
     const isListed = (replica: string): boolean => registry.replica(replica) !== undefined;
-    this.loads = new VersionedTable(isListed);
+    this.loadRows = new VersionedTable(isListed);
     this.residencyRows = new VersionedTable(isListed);
     tree.register(Topic.Member, this.memberTopic());
     tree.register(Topic.EngineLease, this.leaseTopic());
@@ -67,28 +67,27 @@
     tree.register(Topic.Start, this.startTopic());
     cluster.handle(MessageType.Ensure, (_from, wanted: EnsureWanted) => loader.ensureHere(wanted));
     cluster.handle(MessageType.InFlight, ({ address }, frame: InFlightFrame) =>
-      this.takeReport(address, decodeInFlight(frame)),
+      this.mergeReport(address, decodeInFlight(frame)),
     );
     registry.onReplica((id, entry) => {
       if (entry !== undefined) return;
-      this.loads.forget(id);
+      this.loadRows.forget(id);
       this.residencyRows.forget(id);
-      this.published.delete(id);
+      this.lastPublished.delete(id);
     });
-    this.ticking = timers.repeat(LOAD_MS, () => this.publishLoads());
+    this.loadTimer = timers.repeat(LOAD_CHECK_MS, () => this.publishLoads());
   }
 
-  /** Ends what runs by time. */
+  /** Cancels the timer. */
   stop(): void {
-    this.ticking.cancel();
+    this.loadTimer.cancel();
   }
 
   /**
-   * Takes what a peer told of its requests on engines that this daemon owns.
-   * @param peer - Its address.
-   * @param report - Its requests.
+   * Merges a peer's report of its requests on engines that this daemon owns.
+   * @param peer - Address of the peer.
    */
-  takeReport(peer: string, report: InFlightReport): void {
+  mergeReport(peer: string, report: InFlightReport): void {
     const { inFlight, loader } = this.options;
     inFlight.take(peer, report);
     for (const { replica, key, begun } of report.adapters) if (begun > 0) loader.use(replica, key, begun);
@@ -96,11 +95,8 @@
       loader.setRunning(replica, () => inFlight.runningByAdapter(replica));
   }
 
-  /**
-   * Publishes what an engine of this daemon holds.
-   * @param residency - Models and adapters in place.
-   */
-  publishHoldings(residency: Holdings): void {
+  /** Publishes the resident models and adapters of an engine that this daemon owns. */
+  publishResidency(residency: Holdings): void {
     const row: ResidencyRow = { ...residency, sequence: this.nextSequence() };
     this.residencyRows.merge(row);
     this.options.tree.publish(Topic.Residency, row);
@@ -114,15 +110,15 @@
     for (const { replica, token } of leases.mine()) {
       const { freeSlots, queued } = slots.get(replica) ?? { freeSlots: 0, queued: 0 };
       const row = { replica, token, sequence: 0, freeSlots, queued, ...inFlight.sum(replica) };
-      const last = this.published.get(replica);
-      if (last !== undefined && now - last.at < LOAD_REFRESH_MS && isSameLoad(last.row, row)) continue;
+      const last = this.lastPublished.get(replica);
+      if (last !== undefined && now - last.at < MAX_LOAD_AGE_MS && isSameLoad(last.row, row)) continue;
       this.publishLoad({ ...row, sequence: this.nextSequence() }, now);
     }
   }
 
   private publishLoad(row: EngineLoadRow, at: number): void {
-    this.published.set(row.replica, { row, at });
-    this.loads.merge(row);
+    this.lastPublished.set(row.replica, { row, at });
+    this.loadRows.merge(row);
     this.applyLoad(row);
     this.options.tree.publish(Topic.EngineLoad, row);
   }
@@ -146,7 +142,7 @@
       merge: (record) => cluster.merge(record),
       snapshot: () => cluster.records(),
       encode: encodeMember,
-      decode: (wire) => decodeMember(wire as MemberFrame),
+      decode: (frame) => decodeMember(frame as MemberFrame),
     };
   }
 
@@ -156,14 +152,14 @@
       isUrgent: true,
       keyOf: ({ replica }) => replica,
       merge: (lease) => {
-        const isNews = leases.take(lease);
-        if (isNews) reporter.noteOwner(lease.replica);
-        return isNews;
+        const isNew = leases.take(lease);
+        if (isNew) reporter.noteOwner(lease.replica);
+        return isNew;
       },
       snapshot: () => leases.all(),
       encode: ({ replica, holder, token }) => [replica, holder, token],
-      decode: (wire) => {
-        const [replica, holder, token] = wire as [string, string, number];
+      decode: (frame) => {
+        const [replica, holder, token] = frame as [string, string, number];
         return { replica, holder, token };
       },
     };
@@ -174,11 +170,11 @@
       isUrgent: false,
       keyOf: ({ replica }) => replica,
       merge: (row) => {
-        const isNews = this.loads.merge(row);
-        if (isNews) this.applyLoad(row);
-        return isNews;
+        const isNew = this.loadRows.merge(row);
+        if (isNew) this.applyLoad(row);
+        return isNew;
       },
-      snapshot: () => this.loads.snapshot(),
+      snapshot: () => this.loadRows.snapshot(),
       encode: encodeEngineLoad,
       decode: decodeEngineLoad,
     };
@@ -189,9 +185,9 @@
       isUrgent: false,
       keyOf: ({ replica }) => replica,
       merge: (row) => {
-        const isNews = this.residencyRows.merge(row);
-        if (isNews) this.options.residency.take(row);
-        return isNews;
+        const isNew = this.residencyRows.merge(row);
+        if (isNew) this.options.residency.take(row);
+        return isNew;
       },
       snapshot: () => this.residencyRows.snapshot(),
       encode: encodeResidency,
@@ -207,8 +203,8 @@
       merge: (start) => registry.noteStart(start),
       snapshot: () => [],
       encode: ({ name, bornAt }) => [name, bornAt],
-      decode: (wire) => {
-        const [name, bornAt] = wire as [string, number];
+      decode: (frame) => {
+        const [name, bornAt] = frame as [string, number];
         return { name, bornAt };
       },
     };
--- a/packages/routing/src/core/daemon/router.ts
+++ b/packages/routing/src/core/daemon/router.ts
@@ -1,24 +1,27 @@
-/** A router daemon: its start, its reload, and its graceful shutdown. */
+/** Starts, reloads and gracefully shuts down a router daemon. */
 import type { Kernel } from '@celeryyoke/core';
 import { createKernel } from '@celeryyoke/core';
 
 import type { EngineLeases } from '../ownership/index.js';
 import type { Cluster } from '../cluster/index.js';
 import type { RequestServer } from '../requests/index.js';
-import { PART } from './names.js';
+import { PART } from './part-names.js';
 import type { RouterState } from './services.js';
 import { RouterServices } from './services.js';
 import type { RouterOptions } from './types.js';
 
-/** Time after the signal in which the balancer still sends new connections, in milliseconds: two missed questions, a second apart, and a margin. */
-const LEAVE_ROTATION_MS = 2500;
-/** Questions of the balancer without a yes after which it sends no new connections. */
-const MISSES = 2;
-/** Time in which connections that were on their way still arrive, in milliseconds. */
-const CROSSING_MS = 150;
-/** Part of the grace that is kept for ending, in milliseconds. */
+/**
+ * Maximum time after the signal in which the load balancer still sends new connections, in milliseconds: two
+ * failed probes, one second apart, and a margin.
+ */
+const MAX_ROTATION_WAIT_MS = 2500;
+/** Number of failed probes after which the load balancer sends no new connections. */
+const FAILED_PROBES = 2;
+/** Time for connections that the load balancer opened before then to arrive, in milliseconds. */
+const CONNECTION_ARRIVAL_MS = 150;
+/** Part of the grace period that is reserved for closing, in milliseconds. */
 const GRACE_MARGIN_MS = 400;
-const DRAIN_LOOK_MS = 50;
+const DRAIN_CHECK_MS = 50;
 
 /** A daemon that routes requests. */
 export class Router {
@@ -26,35 +29,29 @@
 
   private readonly state: RouterState;
 
-  /**
-   * Makes a daemon that has not started.
-   * @param options - Settings, time, logs and the adapters to the platform.
-   */
+  /** Registers all parts at the kernel; {@link Router.start} starts them. */
   constructor(private readonly options: RouterOptions) {
-    this.state = { seeds: options.settings.seeds, isLeaving: false, refusedQuestions: 0 };
+    this.state = { seeds: options.settings.seeds, isLeaving: false, failedProbes: 0 };
     const services = new RouterServices(options, this.state, this.kernel).list();
     for (const service of services) this.kernel.register(service);
   }
 
-  /** Starts all parts. */
   async start(): Promise<void> {
     const { settings, log } = this.options;
     await this.kernel.start();
     log.info(`Started ${settings.name} at ${settings.host}, zone ${settings.zone}.`);
   }
 
-  /**
-   * Takes new seeds, after a reload of the settings.
-   * @param seeds - Peers to ask first.
-   */
+  /** Replaces the seeds after a reload of the settings. */
   reseed(seeds: readonly string[]): void {
     this.state.seeds = seeds;
-    this.options.log.info(`Reloaded; seeds ${seeds.join(', ')}.`);
+    this.options.log.info(`Reloaded the settings; seeds are ${seeds.join(', ')}.`);
   }
 
   /**
-   * Leaves without interrupting a request: out of rotation, engines handed over, the last answers given.
-   * @param cause - Why, for the log.
+   * Shuts down without interrupting requests, within the grace period: hands over the engines, waits until
+   * the load balancer sends no new connections, and lets the requests in progress end.
+   * @param cause - Cause of the shutdown, for the log.
    */
   async drain(cause: string): Promise<void> {
     if (this.state.isLeaving) return;
@@ -67,27 +64,31 @@
     const cluster = this.get<Cluster>(PART.cluster);
     cluster.leave();
     requests.drain();
-    await this.leaveRotation(startedAt);
+    await this.waitForRotation(startedAt);
     requests.close();
     const end = startedAt + settings.graceMs - GRACE_MARGIN_MS;
     while (timers.now() < end && requests.running > 0) {
-      await timers.sleep(DRAIN_LOOK_MS);
-      // A stream that began before the signal has promised its caller a connection that is kept.
+      await timers.sleep(DRAIN_CHECK_MS);
+      // Responses that began before the signal have announced keep-alive, so their connections must be closed
+      // once idle.
       requests.closeIdle();
     }
     cluster.close();
     log.info(`Stopped ${settings.name} with ${requests.running} requests in progress.`);
   }
 
-  /** Waits until the balancer sends no new connections: it has asked often enough, or has had the time to. */
-  private async leaveRotation(startedAt: number): Promise<void> {
+  /**
+   * Waits until the load balancer sends no new connections: after enough failed probes, or after the maximum
+   * time.
+   */
+  private async waitForRotation(startedAt: number): Promise<void> {
     const { timers } = this.options;
-    const end = startedAt + LEAVE_ROTATION_MS;
-    while (timers.now() < end && this.state.refusedQuestions < MISSES) await timers.sleep(DRAIN_LOOK_MS);
-    await timers.sleep(CROSSING_MS);
+    const end = startedAt + MAX_ROTATION_WAIT_MS;
+    while (timers.now() < end && this.state.failedProbes < FAILED_PROBES) await timers.sleep(DRAIN_CHECK_MS);
+    await timers.sleep(CONNECTION_ARRIVAL_MS);
   }
 
-  /** Stops all parts at once, in reverse order; requests in progress break off. */
+  /** Stops all parts in reverse order without waiting; requests in progress are aborted. */
   async stop(): Promise<void> {
     this.state.isLeaving = true;
     await this.kernel.stop();
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -1,8 +1,8 @@
 /**
- * The parts of a router daemon as services of its kernel.
+ * Defines the parts of a router daemon as services of its kernel.
  *
- * Read from top to bottom, {@link RouterServices.list} is what a daemon consists of and which part needs which; the
- * methods below it make the parts that need more than a constructor.
+ * {@link RouterServices.list} lists the parts and their dependencies; the methods below it create the parts
+ * that need more than a constructor call.
  */
 import type { Server } from 'node:http';
 
@@ -23,41 +23,41 @@
 import { CallerTimes, StreamMigrations, RequestMetrics, RequestServer } from '../requests/index.js';
 import { FleetShare } from '../shares/index.js';
 import { ReplicaRegistry, StoreWatcher, RecordKind, ReplicatedStore } from '../view/index.js';
-import { listenForFigures, registerFigures } from './figures.js';
+import { startMetricsServer, registerMetrics } from './metrics.js';
 import { InFlightReporter } from './in-flight-reporter.js';
 import { MemberLog } from './member-log.js';
-import { PART } from './names.js';
+import { PART } from './part-names.js';
 import { PeerProtocol } from './peer-protocol.js';
 import type { ReadinessServer } from './readiness.js';
-import { listenForReadiness } from './readiness.js';
+import { startReadinessServer } from './readiness.js';
 import type { RouterOptions } from './types.js';
 
-/** How often leases are reviewed, in milliseconds. */
-const REVIEW_MS = 100;
-/** Age of what is heard of the fleet beyond which a daemon may be cut off from it, in milliseconds. */
-const UP_TO_DATE_MS = 1500;
+/** Interval at which leases are reviewed, in milliseconds. */
+const LEASE_REVIEW_MS = 100;
+/**
+ * Maximum age of a daemon's information about the fleet, in milliseconds; beyond it, the daemon may be
+ * partitioned.
+ */
+const MAX_FLEET_VIEW_AGE_MS = 1500;
 
-/** What changes while a daemon runs. */
+/** State of a daemon that is shared between its shutdown and its parts. */
 export interface RouterState {
-  /** Peers to ask first; a reload changes them. */
+  /** Peers to contact first; a reload replaces them. */
   seeds: readonly string[];
   /** Whether the daemon is shutting down. */
   isLeaving: boolean;
-  /** Questions of the balancer that were answered with no since then. */
-  refusedQuestions: number;
+  /** Readiness probes that were answered with 503 since the shutdown began. */
+  failedProbes: number;
 }
 
-/** Makes the services of one daemon. */
+/** Creates the services of one daemon. */
 export class RouterServices {
-  private readonly budgets = new Map<string, RepeatBudget>();
+  private readonly retryBudgets = new Map<string, RepeatBudget>();
 
   private readonly memberLog: MemberLog;
 
   /**
-   * Makes the list's maker.
-   * @param options - Settings, time, logs and the adapters to the platform.
-   * @param state - Shared with the daemon.
-   * @param kernel - Finds parts that are looked up only when they are used.
+   * @param kernel - Finds parts that are looked up only when they are used, as they depend on each other.
    */
   constructor(
     private readonly options: RouterOptions,
@@ -68,10 +68,7 @@
     this.memberLog = new MemberLog(log, timers, () => this.get<Cluster>(PART.cluster).alive().length);
   }
 
-  /**
-   * Lists the services in the order of their needs.
-   * @returns What the kernel starts.
-   */
+  /** Services in the order of their dependencies, for the kernel to start. */
   list(): Service[] {
     const { timers } = this.options;
     return [
@@ -87,9 +84,9 @@
       part(PART.inFlight, [], () => new InFlightTable(timers)),
       part(PART.health, [], () => new ReplicaHealth(timers)),
       part(
-        PART.pauses,
+        PART.pauseDetector,
         [],
-        () => startPauses(this.options),
+        () => startPauseDetector(this.options),
         (pauses) => pauses.stop(),
       ),
       part(PART.registry, [PART.view], (kernel) => new ReplicaRegistry(kernel.get(PART.view), timers)),
@@ -110,7 +107,7 @@
       part(PART.settling, [PART.cluster, PART.tree], (kernel) => this.makeSettling(kernel)),
       part(
         PART.quotas,
-        [PART.cluster, PART.tree, PART.share, PART.pauses, PART.registry, PART.settling],
+        [PART.cluster, PART.tree, PART.share, PART.pauseDetector, PART.registry, PART.settling],
         (kernel) => this.makeQuotas(kernel),
         (quotas) => quotas.stop(),
       ),
@@ -119,11 +116,13 @@
       ),
       part(
         PART.leases,
-        [PART.cluster, PART.tree, PART.pauses, PART.registry, PART.settling],
-        (kernel) => this.makeClaims(kernel),
+        [PART.cluster, PART.tree, PART.pauseDetector, PART.registry, PART.settling],
+        (kernel) => this.makeLeases(kernel),
         (leases) => leases.close(),
       ),
-      part(PART.reviews, [PART.leases, PART.registry], startReviews(this.options), (timer) => timer.cancel()),
+      part(PART.leaseReviews, [PART.leases, PART.registry], startReviews(this.options), (timer) =>
+        timer.cancel(),
+      ),
       part(
         PART.loader,
         [
@@ -168,7 +167,7 @@
       part(
         PART.watcher,
         [PART.view, PART.cluster, PART.tree, PART.protocol],
-        (kernel) => this.startFollower(kernel),
+        (kernel) => this.startWatcher(kernel),
         (watcher) => watcher.stop(),
       ),
       part(
@@ -194,7 +193,7 @@
         (requests) => requests.cut(),
       ),
       part(
-        PART.figures,
+        PART.metricsServer,
         [
           PART.metrics,
           PART.view,
@@ -202,11 +201,11 @@
           PART.tree,
           PART.leases,
           PART.channels,
-          PART.pauses,
+          PART.pauseDetector,
           PART.requests,
           PART.registry,
         ],
-        (kernel) => this.startFigures(kernel),
+        (kernel) => this.startMetrics(kernel),
         (server) => server?.close(),
       ),
       part(
@@ -222,7 +221,7 @@
 
   private makeCluster(): Cluster {
     const { settings, timers, log } = this.options;
-    const address = selfOf(this.options);
+    const address = addressOf(this.options);
     return new Cluster({
       self: { address, zone: settings.zone, incarnation: timers.wall() },
       seeds: () => this.state.seeds,
@@ -235,18 +234,19 @@
 
   private handleMember(record: MemberRecord, before: MemberRecord | undefined): void {
     const { address, state } = record;
-    const isOwn = address === selfOf(this.options);
+    const isOwn = address === addressOf(this.options);
     this.get<DisseminationTree>(PART.tree).publish(Topic.Member, record, isOwn);
-    const isNewLife = before !== undefined && before.incarnation !== record.incarnation;
-    if (state === MemberState.Ended || isNewLife) this.get<InFlightTable>(PART.inFlight).forgetPeer(address);
-    if (!isOwn && (state !== before?.state || isNewLife)) this.memberLog.note(record);
+    const isNewIncarnation = before !== undefined && before.incarnation !== record.incarnation;
+    if (state === MemberState.Ended || isNewIncarnation)
+      this.get<InFlightTable>(PART.inFlight).forgetPeer(address);
+    if (!isOwn && (state !== before?.state || isNewIncarnation)) this.memberLog.record(record);
   }
 
   private makeTree(kernel: ServiceFinder): DisseminationTree {
     const { timers, log } = this.options;
     const residency = kernel.get<ResidencyTable>(PART.residency);
     return new DisseminationTree({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       view: kernel.get(PART.view),
       timers,
@@ -258,7 +258,7 @@
 
   private makeReporter(kernel: ServiceFinder): InFlightReporter {
     return new InFlightReporter({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       leases: kernel.get(PART.leases),
       loader: kernel.get(PART.loader),
@@ -288,14 +288,14 @@
     const loader = kernel.get<Loader>(PART.loader);
     const inFlight = kernel.get<InFlightTable>(PART.inFlight);
     return new PromptAdmission({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       leases: kernel.get(PART.leases),
       registry: kernel.get(PART.registry),
       timers,
       log,
       takeChanges: (replica) => reporter.takeChanges(replica),
-      takeReport: (peer, report) => protocol.takeReport(peer, report),
+      takeReport: (peer, report) => protocol.mergeReport(peer, report),
       isResident: (replica, key) => loader.isResident(replica, key),
       counts: (replica) => inFlight.sum(replica),
     });
@@ -304,7 +304,7 @@
   private makeShare(kernel: ServiceFinder): FleetShare {
     const { settings, timers } = this.options;
     return new FleetShare({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       seeds: () => this.state.seeds,
       isUpToDate: () => this.isUpToDate(),
@@ -327,10 +327,10 @@
   private makeQuotas(kernel: ServiceFinder): AccountQuotas {
     const { settings, timers, log } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    const pauses = kernel.get<PauseDetector>(PART.pauses);
+    const pauses = kernel.get<PauseDetector>(PART.pauseDetector);
     const settling = kernel.get<FleetSettling>(PART.settling);
     return new AccountQuotas({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       tree: kernel.get(PART.tree),
       windowMs: settings.quotaWindowMs,
@@ -347,7 +347,7 @@
   private makeLimits(kernel: ServiceFinder): ReplicaLimits {
     const { timers, log } = this.options;
     return new ReplicaLimits({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       tree: kernel.get(PART.tree),
       share: kernel.get(PART.share),
@@ -357,22 +357,22 @@
     });
   }
 
-  /** Whether this daemon has heard of the fleet a moment ago. */
+  /** Whether this daemon has recently received messages from its peers and the shared state. */
   private isUpToDate(): boolean {
     const cluster = this.get<Cluster>(PART.cluster);
-    const isHeard = cluster.alive().length <= 1 || cluster.heardAgoMs() < UP_TO_DATE_MS;
-    return isHeard && this.get<DisseminationTree>(PART.tree).ageMs < UP_TO_DATE_MS;
+    const hasRecentMessages = cluster.alive().length <= 1 || cluster.heardAgoMs() < MAX_FLEET_VIEW_AGE_MS;
+    return hasRecentMessages && this.get<DisseminationTree>(PART.tree).ageMs < MAX_FLEET_VIEW_AGE_MS;
   }
 
-  private makeClaims(kernel: ServiceFinder): EngineLeases {
+  private makeLeases(kernel: ServiceFinder): EngineLeases {
     const { settings, timers, log } = this.options;
     const cluster = kernel.get<Cluster>(PART.cluster);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    const pauses = kernel.get<PauseDetector>(PART.pauses);
+    const pauses = kernel.get<PauseDetector>(PART.pauseDetector);
     const settling = kernel.get<FleetSettling>(PART.settling);
     const tree = kernel.get<DisseminationTree>(PART.tree);
     const leases = new EngineLeases({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       fleet: cluster,
       timers,
       leaseMs: settings.leaseMs,
@@ -381,7 +381,7 @@
       hasSettled: () => settling.hasSettled(),
       isUpToDate: () => this.isUpToDate(),
       onGain: (lease) => {
-        log.decide('lease.gained', `Gives orders to ${lease.replica}.`, {
+        log.decide('lease.gained', `Acquired the lease of ${lease.replica}.`, {
           replica: lease.replica,
           token: lease.token,
         });
@@ -389,7 +389,7 @@
         this.get<Loader>(PART.loader).gain(lease);
       },
       onLoss: (lease, reason) => {
-        log.decide('lease.lost', `Gives no more orders to ${lease.replica}.`, {
+        log.decide('lease.lost', `Lost the lease of ${lease.replica}.`, {
           replica: lease.replica,
           token: lease.token,
           reason,
@@ -407,7 +407,7 @@
     const { timers, log } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
     const loader = new Loader({
-      self: selfOf(this.options),
+      self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       leases: kernel.get(PART.leases),
       registry,
@@ -416,7 +416,7 @@
       isFenced: this.options.settings.isFenced,
       timers,
       log,
-      publishHoldings: (told) => this.get<PeerProtocol>(PART.protocol).publishHoldings(told),
+      publishHoldings: (residency) => this.get<PeerProtocol>(PART.protocol).publishResidency(residency),
       publishStart: (start) => this.get<DisseminationTree>(PART.tree).publish(Topic.Start, start),
     });
     const channels = kernel.get<ChannelPool>(PART.channels);
@@ -429,12 +429,12 @@
     return loader;
   }
 
-  private startFollower(kernel: ServiceFinder): StoreWatcher {
+  private startWatcher(kernel: ServiceFinder): StoreWatcher {
     const { timers, log, source } = this.options;
     const view = kernel.get<ReplicatedStore>(PART.view);
     const cluster = kernel.get<Cluster>(PART.cluster);
     const tree = kernel.get<DisseminationTree>(PART.tree);
-    const self = selfOf(this.options);
+    const self = addressOf(this.options);
     view.onChange(({ record }) => {
       if (record?.kind !== RecordKind.AdapterVersion) return;
       const { model, adapter, version } = record.declared;
@@ -453,11 +453,13 @@
       isAlone: () => cluster.alive().length <= 1,
       isFirstStart: this.options.settings.isFirstStart,
       random: Math.random,
-      publish: (isNews) => tree.publishView(isNews),
+      publish: (hasChanges) => tree.publishView(hasChanges),
       onSource: (isReachable, reason) =>
-        log.warn(isReachable ? 'The platform answers again.' : `The platform does not answer: ${reason}.`),
+        log.warn(
+          isReachable ? 'The platform is reachable again.' : `The platform is unreachable: ${reason}.`,
+        ),
       onTakeOver: ({ rank, ageMs }) =>
-        log.decide('view.take-over', 'Reads the platform in place of those before it.', {
+        log.decide('view.take-over', 'Took over reading from the platform.', {
           rank,
           viewAgeMs: roundAge(ageMs),
           revision: view.upTo,
@@ -492,7 +494,7 @@
     registry.onReplica((id, entry, before) => {
       if (entry?.state === before?.state) return;
       const { service, state } = entry ?? {};
-      const text = entry === undefined ? `Replica ${id} is gone.` : `Replica ${id} is ${entry.state}.`;
+      const text = entry === undefined ? `Replica ${id} was removed.` : `Replica ${id} is ${entry.state}.`;
       log.decide('replica.state', text, {
         replica: id,
         service,
@@ -540,7 +542,7 @@
         metrics: new RequestMetrics(kernel.get<Metrics>(PART.metrics)),
         viewAgeMs: () => roundAge(view.ageMs),
         fleetShare: () => share.own(),
-        budget: (service) => this.budget(service, share),
+        budget: (service) => this.retryBudgetFor(service, share),
       },
     });
     await server.listen();
@@ -549,44 +551,45 @@
     return server;
   }
 
-  private budget(service: string, share: FleetShare): RepeatBudget {
-    const known = this.budgets.get(service);
+  /** Retry budget of a service, created when first used. */
+  private retryBudgetFor(service: string, share: FleetShare): RepeatBudget {
+    const known = this.retryBudgets.get(service);
     if (known !== undefined) return known;
     const { settings, timers } = this.options;
-    const made = new RepeatBudget({ bounds: settings.budget, share: () => share.own(), timers });
-    this.budgets.set(service, made);
-    return made;
+    const created = new RepeatBudget({ bounds: settings.budget, share: () => share.own(), timers });
+    this.retryBudgets.set(service, created);
+    return created;
   }
 
-  private async startFigures(kernel: ServiceFinder): Promise<Server | undefined> {
+  private async startMetrics(kernel: ServiceFinder): Promise<Server | undefined> {
     const { settings, droppedLines } = this.options;
     const metrics = kernel.get<Metrics>(PART.metrics);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    registerFigures({
+    registerMetrics({
       metrics,
       view: kernel.get(PART.view),
       cluster: kernel.get(PART.cluster),
       tree: kernel.get(PART.tree),
       leases: kernel.get(PART.leases),
       channels: kernel.get(PART.channels),
-      pauses: kernel.get(PART.pauses),
+      pauses: kernel.get(PART.pauseDetector),
       requests: kernel.get<RequestServer>(PART.requests),
       droppedLines,
       configVersion: () => registry.table?.document.version ?? 0,
     });
     if (settings.metricsPort === undefined) return undefined;
-    return listenForFigures(settings.host, settings.metricsPort, metrics);
+    return startMetricsServer(settings.host, settings.metricsPort, metrics);
   }
 
   private startReadiness(kernel: ServiceFinder): Promise<ReadinessServer> {
     const { settings, isReadinessPath } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    return listenForReadiness({
+    return startReadinessServer({
       host: settings.host,
       port: settings.readinessPort,
       isReadinessPath,
       isReady: () => {
-        if (this.state.isLeaving) this.state.refusedQuestions += 1;
+        if (this.state.isLeaving) this.state.failedProbes += 1;
         return !this.state.isLeaving && registry.table !== undefined;
       },
     });
@@ -597,17 +600,17 @@
   }
 }
 
-/** An age for the log, in whole milliseconds. */
+/** Rounds an age to whole milliseconds for the log; an infinite one becomes the largest safe integer. */
 function roundAge(ageMs: number): number {
   return Math.round(Math.min(ageMs, Number.MAX_SAFE_INTEGER));
 }
 
-/** Address of this daemon among its peers. */
-function selfOf({ settings: { host, peerPort } }: RouterOptions): string {
+/** Address at which peers reach this daemon. */
+function addressOf({ settings: { host, peerPort } }: RouterOptions): string {
   return `${host}:${peerPort}`;
 }
 
-/** One part of the daemon as a service of the kernel. */
+/** Wraps a part of the daemon as a service of the kernel, which passes the started value to `stop`. */
 function part<T>(
   name: string,
   needs: readonly string[],
@@ -628,24 +631,24 @@
   };
 }
 
-/** Reviews the leases again and again. */
+/** Returns the start function of a timer that reviews the leases at an interval. */
 function startReviews({ timers }: RouterOptions): (kernel: ServiceFinder) => TimerHandle {
   return (kernel) => {
     const leases = kernel.get<EngineLeases>(PART.leases);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    return timers.repeat(REVIEW_MS, () => leases.review(enginesOf(registry)));
+    return timers.repeat(LEASE_REVIEW_MS, () => leases.review(enginesOf(registry)));
   };
 }
 
-function startPauses({ timers, log }: RouterOptions): PauseDetector {
+function startPauseDetector({ timers, log }: RouterOptions): PauseDetector {
   const pauses = new PauseDetector(timers, (ms) =>
-    log.warn(`This process stood still for ${Math.round(ms)} ms.`),
+    log.warn(`This process was paused for ${Math.round(ms)} ms.`),
   );
   pauses.start();
   return pauses;
 }
 
-/** Incarnations of all engines. */
+/** Ids of all listed engines. */
 function* enginesOf(registry: ReplicaRegistry): Generator<string> {
   for (const { id, service } of registry.all())
     if (registry.table?.service(service)?.engine !== undefined) yield id;
--- a/packages/routing/src/core/daemon/types.ts
+++ b/packages/routing/src/core/daemon/types.ts
@@ -1,4 +1,4 @@
-/** What a router daemon is given. */
+/** Settings and dependencies of a router daemon. */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
 import type { EngineControl } from '../adapters/index.js';
@@ -7,9 +7,9 @@
 import type { RequestDialect, RunMover } from '../requests/index.js';
 import type { RecordSource } from '../view/index.js';
 
-/** Settings of a router daemon; an adapter to a platform reads them from the platform's own. */
+/** Settings of a router daemon; the adapter to the platform maps the platform's settings to them. */
 export interface RouterSettings {
-  /** Name of the daemon, for logs and orders. */
+  /** Name of the daemon, for logs and for orders to engines. */
   readonly name: string;
   /** Address of its host. */
   readonly host: string;
@@ -18,34 +18,34 @@
   readonly callerPort: number;
   readonly readinessPort: number;
   readonly peerPort: number;
-  /** Port on which the figures are served; undefined for none. */
+  /** Port on which the metrics are served; undefined to not serve them. */
   readonly metricsPort: number | undefined;
-  /** Peers to ask first, as `host:port`; they may be stale or down. */
+  /** Peers to contact first, as `host:port`; they may be outdated or down. */
   readonly seeds: readonly string[];
   /** Whether the whole fleet starts for the first time, before any caller. */
   readonly isFirstStart: boolean;
-  /** Time for a graceful shutdown in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly graceMs: number;
-  /** Lease of the right to give orders, in milliseconds. */
+  /** Duration of the lease with which a daemon owns an engine, in milliseconds. */
   readonly leaseMs: number;
-  /** Whether engines refuse an order with a fencing token that is lower than one they have seen. */
+  /** Whether engines refuse an order whose fencing token is lower than one they have seen. */
   readonly isFenced: boolean;
   readonly budget: BudgetBounds;
-  /** Window in which a client account may use its rate over the window and its burst, in milliseconds. */
+  /** Window in which a client account may use its rate over the window plus its burst, in milliseconds. */
   readonly quotaWindowMs: number;
 }
 
-/** Options of a router daemon. */
+/** Dependencies of a router daemon, besides its settings. */
 export interface RouterOptions {
   readonly settings: RouterSettings;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  /** Log lines that the output did not take. */
+  /** Number of log lines that were dropped because the output did not accept them. */
   readonly droppedLines: () => number;
   readonly dialect: RequestDialect;
   readonly source: RecordSource;
-  /** Makes the client for orders over the daemon's own connections. */
+  /** Creates the client that sends orders to engines over the daemon's connection pool. */
   readonly control: (pool: ChannelPool) => EngineControl & RunMover;
-  /** Whether a path on the readiness port is the question. */
+  /** Whether a path on the readiness port is the readiness probe. */
   readonly isReadinessPath: (path: string) => boolean;
 }
