--- a/packages/routing/src/core/accounts/account-metrics.ts
+++ b/packages/routing/src/core/accounts/account-metrics.ts
@@ -18,7 +18,7 @@
   constructor(private readonly metrics: Metrics) {}
 
   /** Counts a request that the quota of its account admitted or refused. */
-  charged(account: string, isAdmitted: boolean): void {
+  countRequest(account: string, isAdmitted: boolean): void {
     const name = this.labelOf(account);
     const key = `${name} ${isAdmitted}`;
     let counter = this.requestCounters.get(key);
@@ -31,7 +31,7 @@
   }
 
   /** Counts a request that was rejected for its credentials. */
-  unauthorized(outcome: AuthOutcome): void {
+  countUnauthorized(outcome: AuthOutcome): void {
     let counter = this.unauthorizedCounters.get(outcome);
     if (counter === undefined) {
       counter = this.metrics.counter('router_unauthorized_total', 'Requests without a valid key.', {
--- a/packages/routing/src/core/adapters/loader.ts
+++ b/packages/routing/src/core/adapters/loader.ts
@@ -226,7 +226,7 @@
   /** All daemons hear at once that an engine has started again; each then holds it for a new one. */
   private tellStart({ id, name }: ReplicaEntry, bornAt: number): void {
     const { registry, log, publishStart } = this.options;
-    if (!registry.noteStart({ name, bornAt })) return;
+    if (!registry.recordStart({ name, bornAt })) return;
     log.decide('replica.started-again', `Replica ${id} has started again.`, { replica: id, bornAt });
     publishStart({ name, bornAt });
   }
--- a/packages/routing/src/core/adapters/types.ts
+++ b/packages/routing/src/core/adapters/types.ts
@@ -1,5 +1,5 @@
 /** Orders to engines and what they hold. */
-import type { HeldModel, ReplicaEntry } from '../view/index.js';
+import type { ResidentModel, ReplicaEntry } from '../view/index.js';
 
 /** What an order asks for. */
 export enum OrderKind {
@@ -53,7 +53,7 @@
   readonly running: number | undefined;
   /** Time after which it is gone whatever it runs, in milliseconds; undefined unless it is taken away at short notice. */
   readonly remainingMs: number | undefined;
-  readonly models: readonly HeldModel[];
+  readonly models: readonly ResidentModel[];
   /** Adapters on their way, as model, adapter and version. */
   readonly loading: readonly { readonly model: string; readonly adapter: string; readonly version: number }[];
 }
--- a/packages/routing/src/core/choice/chooser.ts
+++ b/packages/routing/src/core/choice/chooser.ts
@@ -121,7 +121,9 @@
    * @returns The choice, or undefined when no replica can take it.
    */
   choose(need: Need): Choice | undefined {
-    const ready = this.options.registry.ready(need.service).filter(({ id }) => this.options.mayTake(id));
+    const ready = this.options.registry
+      .readyReplicas(need.service)
+      .filter(({ id }) => this.options.mayTake(id));
     const untried = ready.filter(({ id }) => !need.tried.has(id));
     const able = this.able(untried.length > 0 ? untried : ready, need);
     const ranks = need.adapter === undefined ? undefined : rankOf(need.adapter, able);
@@ -142,9 +144,9 @@
    * @returns The version; 0 when any will do.
    */
   leastVersion(model: string, adapter: string): number {
-    const declared = this.options.registry.declared(model, adapter);
+    const declared = this.options.registry.declaredVersion(model, adapter);
     if (declared === undefined) return 0;
-    const isNew = this.options.now() - declared.learntAt < OLDER_VERSION_MS;
+    const isNew = this.options.now() - declared.receivedAt < OLDER_VERSION_MS;
     return isNew ? 0 : declared.version;
   }
 
@@ -154,7 +156,7 @@
    * @returns Whether it does, or did a moment ago and its service has no other.
    */
   takesWork({ id, service }: ReplicaEntry): boolean {
-    return this.options.registry.ready(service).some((ready) => ready.id === id);
+    return this.options.registry.readyReplicas(service).some((ready) => ready.id === id);
   }
 
   /** Replicas that can take the request, with the requests that they have. */
--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -74,7 +74,7 @@
    * Reports all requests on a replica to its new owner, which might otherwise unload an adapter that it
    * considers unused.
    */
-  noteOwner(replica: string): void {
+  reportToOwner(replica: string): void {
     const { inFlight } = this.options;
     for (const key of inFlight.ownKeys(replica)) this.recordChange(replica, key);
     if (inFlight.ownOf(replica).running > 0) this.recordChange(replica, undefined);
--- a/packages/routing/src/core/daemon/peer-protocol.ts
+++ b/packages/routing/src/core/daemon/peer-protocol.ts
@@ -153,7 +153,7 @@
       keyOf: ({ replica }) => replica,
       merge: (lease) => {
         const isNew = leases.take(lease);
-        if (isNew) reporter.noteOwner(lease.replica);
+        if (isNew) reporter.reportToOwner(lease.replica);
         return isNew;
       },
       snapshot: () => leases.all(),
@@ -200,7 +200,7 @@
     return {
       isUrgent: true,
       keyOf: ({ name }) => name,
-      merge: (start) => registry.noteStart(start),
+      merge: (start) => registry.recordStart(start),
       snapshot: () => [],
       encode: ({ name, bornAt }) => [name, bornAt],
       decode: (frame) => {
--- a/packages/routing/src/core/daemon/router.ts
+++ b/packages/routing/src/core/daemon/router.ts
@@ -43,7 +43,7 @@
   }
 
   /** Replaces the seeds after a reload of the settings. */
-  reseed(seeds: readonly string[]): void {
+  setSeeds(seeds: readonly string[]): void {
     this.state.seeds = seeds;
     this.options.log.info(`Reloaded the settings; seeds are ${seeds.join(', ')}.`);
   }
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -454,7 +454,7 @@
       isFirstStart: this.options.settings.isFirstStart,
       random: Math.random,
       publish: (hasChanges) => tree.publishView(hasChanges),
-      onSource: (isReachable, reason) =>
+      onReachabilityChange: (isReachable, reason) =>
         log.warn(
           isReachable ? 'The platform is reachable again.' : `The platform is unreachable: ${reason}.`,
         ),
--- a/packages/routing/src/core/dissemination/tree.ts
+++ b/packages/routing/src/core/dissemination/tree.ts
@@ -146,7 +146,7 @@
     cluster.handle(MessageType.Update, (_from, body) => this.handleUpdate(decodeBatch(body)));
     cluster.handle(MessageType.Clock, () => timers.now());
     cluster.handle(MessageType.RootAge, () => Math.round(this.ageMs));
-    cluster.handle(MessageType.ViewChanges, (_from, upTo: number) => options.view.since(upTo));
+    cluster.handle(MessageType.ViewChanges, (_from, upTo: number) => options.view.deltaSince(upTo));
     cluster.handlePush((from, body) => this.handlePush(from, decodeBatch(body)));
     cluster.onLinkEnd((address) => this.handleLinkEnd(address));
     cluster.onChannelClose((channel) => this.subscriberList.removeChannel(channel));
@@ -335,7 +335,7 @@
     this.topics.merge(rows, (topic, key, row) => this.enqueue(topic, key, row));
     this.subscriberList.add(address, channel);
     const { view, recent } = this.options;
-    const delta = view.upTo > upTo ? view.since(upTo) : null;
+    const delta = view.upTo > upTo ? view.deltaSince(upTo) : null;
     const age = this.viewFeed.age(this.options.timers.now());
     return { ...age, rows: this.topics.snapshot(), delta, recent: recent() };
   }
@@ -497,7 +497,7 @@
     this.merge(rows);
     for (const [replica, keys] of recent) takeRecent(replica, keys);
     if (delta !== undefined && delta !== null) view.apply(delta);
-    if (ageMs >= 0) view.confirm(upTo, ageMs + onWayMs);
+    if (ageMs >= 0) view.confirmUpToDate(upTo, ageMs + onWayMs);
     // Those below this daemon may have missed more than it has: what it learnt in other ways is no news to it.
     this.push({ ...this.signOfLife(), rows });
     // What changed while the answer was on its way, and a newer view, go up.
--- a/packages/routing/src/core/dissemination/view-feed.ts
+++ b/packages/routing/src/core/dissemination/view-feed.ts
@@ -48,7 +48,7 @@
   takeUnsent(): Delta | undefined {
     const { view } = this.options;
     if (view.upTo <= this.sentUpTo) return undefined;
-    const delta = view.since(this.sentUpTo);
+    const delta = view.deltaSince(this.sentUpTo);
     this.sentUpTo = view.upTo;
     return delta;
   }
@@ -60,7 +60,7 @@
   takeUnpassed(): Delta | undefined {
     const { view } = this.options;
     if (view.upTo <= this.passedUpTo) return undefined;
-    const delta = view.since(this.passedUpTo);
+    const delta = view.deltaSince(this.passedUpTo);
     this.passedUpTo = view.upTo;
     return delta;
   }
@@ -108,7 +108,7 @@
     const { view } = this.options;
     const isTaken = delta === undefined || view.apply(delta);
     if (source !== undefined && (!isTaken || upTo > view.upTo)) void this.ask(source);
-    if (ageMs >= 0) view.confirm(upTo, ageMs + onWayMs);
+    if (ageMs >= 0) view.confirmUpToDate(upTo, ageMs + onWayMs);
   }
 
   private async ask(source: string): Promise<void> {
--- a/packages/routing/src/core/requests/server.ts
+++ b/packages/routing/src/core/requests/server.ts
@@ -267,7 +267,7 @@
       statedTokens,
       isLate,
     });
-    parts.accountMetrics.charged(account.name, isAdmitted);
+    parts.accountMetrics.countRequest(account.name, isAdmitted);
     if (isAdmitted) return true;
     log.decide('request.over-quota', `${account.name} has used up its quota.`, {
       request: head.id,
@@ -288,7 +288,7 @@
    */
   private refuseKey(head: RequestHead, table: RouteTable, problem: KeyProblem, res: ServerResponse): void {
     const { parts, log } = this.options;
-    parts.accountMetrics.unauthorized(problem);
+    parts.accountMetrics.countUnauthorized(problem);
     const viewAgeMs = parts.viewAgeMs();
     const isDoubtful = problem === AuthOutcome.UnknownKey && viewAgeMs > MAX_KEY_VIEW_AGE_MS;
     log.decide('request.unauthorized', KEY_REASONS[problem], {
--- a/packages/routing/src/core/view/index.ts
+++ b/packages/routing/src/core/view/index.ts
@@ -10,7 +10,7 @@
   AdapterVersion,
   Change,
   Delta,
-  HeldModel,
+  ResidentModel,
   RecordSource,
   ReplicaEntry,
   ReplicaStart,
--- a/packages/routing/src/core/view/registry.ts
+++ b/packages/routing/src/core/view/registry.ts
@@ -13,7 +13,7 @@
 export interface DeclaredVersion {
   readonly version: number;
   /** Monotonic milliseconds. */
-  readonly learntAt: number;
+  readonly receivedAt: number;
 }
 
 /**
@@ -91,7 +91,7 @@
   }
 
   /** Replicas of a service that accept new requests; if there is none, those that left recently. */
-  ready(service: string): ReplicaEntry[] {
+  readyReplicas(service: string): ReplicaEntry[] {
     const found: ReplicaEntry[] = [];
     for (const entry of this.replicas.values())
       if (entry.service === service && entry.state === ReplicaState.Ready) found.push(entry);
@@ -99,7 +99,7 @@
   }
 
   /** Newest declared version of an adapter; undefined if none was declared. */
-  declared(model: string, adapter: string): DeclaredVersion | undefined {
+  declaredVersion(model: string, adapter: string): DeclaredVersion | undefined {
     return this.declaredVersions.get(`${model}/${adapter}`);
   }
 
@@ -121,7 +121,7 @@
       const { model, adapter, version } = record.declared;
       const known = this.declaredVersions.get(`${model}/${adapter}`);
       if (known !== undefined && known.version >= version) return;
-      this.declaredVersions.set(`${model}/${adapter}`, { version, learntAt: this.timers.now() });
+      this.declaredVersions.set(`${model}/${adapter}`, { version, receivedAt: this.timers.now() });
     } else if (this.table === undefined || record.document.version > this.table.document.version) {
       this.table = new RouteTable(record.document);
       for (const listener of this.tableListeners) listener(this.table);
@@ -133,7 +133,7 @@
    * shows it. No model is resident on the new incarnation.
    * @returns Whether the start is later than the latest known one.
    */
-  noteStart({ name, bornAt }: ReplicaStart): boolean {
+  recordStart({ name, bornAt }: ReplicaStart): boolean {
     if (bornAt <= (this.latestStarts.get(name) ?? Number.NEGATIVE_INFINITY)) return false;
     this.storeStart(name, bornAt);
     for (const [key, id] of this.idOfKey) {
--- a/packages/routing/src/core/view/replicated-store.ts
+++ b/packages/routing/src/core/view/replicated-store.ts
@@ -61,7 +61,7 @@
    * date as well.
    * @param ageMs - How long ago, in milliseconds.
    */
-  confirm(upTo: number, ageMs: number): void {
+  confirmUpToDate(upTo: number, ageMs: number): void {
     if (upTo > this.upTo || this.upTo === 0) return;
     this.confirmedAt = Math.max(this.confirmedAt, this.timers.now() - ageMs);
   }
@@ -86,7 +86,7 @@
    * @param from - Revision up to which that copy is complete.
    * @returns A delta, whole if the copy lags too far.
    */
-  since(from: number): Delta {
+  deltaSince(from: number): Delta {
     if (from === 0 || from < this.logStart) return this.snapshot();
     const changes = this.changeLog.filter((change) => change.revision > from);
     return { from, upTo: this.upTo, isWhole: false, changes };
--- a/packages/routing/src/core/view/store-watcher.ts
+++ b/packages/routing/src/core/view/store-watcher.ts
@@ -68,7 +68,7 @@
   /** Publishes what was read to the peers; `hasChanges` says whether there were changes for them. */
   readonly publish: (hasChanges: boolean) => void;
   /** Called when the source becomes unreachable or reachable again. */
-  readonly onSource: (isReachable: boolean, reason: string) => void;
+  readonly onReachabilityChange: (isReachable: boolean, reason: string) => void;
   /** Called when this daemon begins to read in place of those ranked before it. */
   readonly onTakeOver: (takeOver: TakeOver) => void;
 }
@@ -170,7 +170,7 @@
       const { publishableCount } = view;
       const { delta, readAt } = await this.fetch();
       view.apply(delta);
-      view.confirm(delta.upTo, timers.now() - readAt);
+      view.confirmUpToDate(delta.upTo, timers.now() - readAt);
       this.lastReadAt = readAt;
       this.setReachable(true, '');
       publish(view.publishableCount > publishableCount);
@@ -222,6 +222,6 @@
   private setReachable(isReachable: boolean, reason: string): void {
     if (this.isReachable === isReachable) return;
     this.isReachable = isReachable;
-    this.options.onSource(isReachable, reason);
+    this.options.onReachabilityChange(isReachable, reason);
   }
 }
--- a/packages/routing/src/core/view/types.ts
+++ b/packages/routing/src/core/view/types.ts
@@ -17,7 +17,7 @@
 }
 
 /** A base model that is resident on an engine, with its adapters. */
-export interface HeldModel {
+export interface ResidentModel {
   readonly name: string;
   readonly version: number;
   readonly adapters: readonly ResidentAdapter[];
@@ -40,7 +40,7 @@
   readonly slots: number;
   readonly state: ReplicaState;
   /** Resident models; undefined if the replica is not an engine. */
-  readonly models: readonly HeldModel[] | undefined;
+  readonly models: readonly ResidentModel[] | undefined;
 }
 
 /**
--- a/packages/routing/test/fakes.ts
+++ b/packages/routing/test/fakes.ts
@@ -6,7 +6,7 @@
   EngineControl,
   EngineOrder,
   EngineReport,
-  HeldModel,
+  ResidentModel,
   ReplicaEntry,
   RoutingDocument,
 } from '@celeryyoke/routing';
@@ -16,7 +16,7 @@
 export const log = createSilentLog();
 
 /** Makes an entry of an engine. */
-export function engineEntry(id: string, models: readonly HeldModel[] = []): ReplicaEntry {
+export function engineEntry(id: string, models: readonly ResidentModel[] = []): ReplicaEntry {
   return {
     id,
     name: id,
--- a/packages/routing/test/fleet/daemons.ts
+++ b/packages/routing/test/fleet/daemons.ts
@@ -99,7 +99,7 @@
     const changes = [{ key: `e${revision}`, revision, record }];
     const isWhole = this.view.upTo === 0;
     this.view.apply({ from: this.view.upTo, upTo: revision, isWhole, changes });
-    this.view.confirm(revision, 0);
+    this.view.confirmUpToDate(revision, 0);
     this.tree.publishView(true);
   }
 
--- a/packages/routing/test/fleet/freshness.test.ts
+++ b/packages/routing/test/fleet/freshness.test.ts
@@ -65,7 +65,7 @@
       isFirstStart: true,
       random: () => this.random.between(0, 1),
       publish: (isNews) => tree.publishView(isNews),
-      onSource: () => undefined,
+      onReachabilityChange: () => undefined,
       onTakeOver: () => undefined,
     });
     this.watchers.push(watcher);
--- a/packages/routing/test/in-flight.test.ts
+++ b/packages/routing/test/in-flight.test.ts
@@ -185,7 +185,7 @@
   await timers.advance(100);
   t.deepEqual(sent, []);
   owners.current = 'b';
-  reporter.noteOwner('e');
+  reporter.reportToOwner('e');
   await timers.advance(20);
   t.deepEqual(sent, [{ to: 'b', report: report([onReplica(1, 1)], [onAdapter(KEY, 1, 1)], false) }]);
 });
--- a/packages/routing/test/replicated-store.test.ts
+++ b/packages/routing/test/replicated-store.test.ts
@@ -59,22 +59,22 @@
   const view = new ReplicatedStore(createManualTimers());
   view.apply(whole(5, replica('a', 5)));
   view.apply(delta(5, 6, replica('b', 6)));
-  const { isWhole, changes } = view.since(5);
+  const { isWhole, changes } = view.deltaSince(5);
   t.false(isWhole);
   t.deepEqual(
     changes.map(({ revision }) => revision),
     [6],
   );
-  t.true(view.since(2).isWhole);
+  t.true(view.deltaSince(2).isWhole);
 });
 
 test('a confirmation counts only up to the revision of the view', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   view.apply(whole(5));
-  view.confirm(6, 0);
+  view.confirmUpToDate(6, 0);
   t.is(view.ageMs, Number.POSITIVE_INFINITY);
-  view.confirm(5, 40);
+  view.confirmUpToDate(5, 40);
   t.is(view.ageMs, 40);
 });
 
@@ -99,19 +99,19 @@
   view.apply(whole(5, replica('a', 2), replica('b', 3)));
   view.apply(delta(5, 6, { key: 'r/a', revision: 6, record: undefined }));
   t.deepEqual(
-    registry.ready('engines').map(({ id }) => id),
+    registry.readyReplicas('engines').map(({ id }) => id),
     ['b'],
   );
   view.apply(delta(6, 7, replica('b', 7, ReplicaState.Leaving)));
   t.deepEqual(
     registry
-      .ready('engines')
+      .readyReplicas('engines')
       .map(({ id }) => id)
       .sort(),
     ['a', 'b'],
   );
   await timers.advance(1600);
-  t.deepEqual(registry.ready('engines'), []);
+  t.deepEqual(registry.readyReplicas('engines'), []);
 });
 
 /** A change with the entry of one incarnation of a replica. */
@@ -153,12 +153,12 @@
 test('a reported start replaces the entry before the store shows it, with no resident models', (t) => {
   const { view, registry, ids } = setUpRegistry();
   view.apply(whole(5, replicaWithStart('a', 1000, 2)));
-  t.true(registry.noteStart({ name: 'a', bornAt: 2000 }));
+  t.true(registry.recordStart({ name: 'a', bornAt: 2000 }));
   t.deepEqual(ids(), ['a#2000']);
   t.deepEqual(registry.replica('a#2000')?.models, []);
   view.apply(delta(5, 6, replicaWithStart('a', 1000, 6)));
   t.deepEqual(ids(), ['a#2000']);
-  t.false(registry.noteStart({ name: 'a', bornAt: 1500 }));
+  t.false(registry.recordStart({ name: 'a', bornAt: 1500 }));
 });
 
 test('a change of resident adapters alone is not published, and is contained in a whole delta', (t) => {
@@ -176,13 +176,13 @@
   view.apply(delta(5, 6, withAdapters(6, 'a1')));
   view.apply(delta(6, 7, replica('a', 7, ReplicaState.Leaving)));
   t.deepEqual(
-    view.since(5).changes.map(({ revision }) => revision),
+    view.deltaSince(5).changes.map(({ revision }) => revision),
     [7],
   );
-  t.is(view.since(5).upTo, 7);
+  t.is(view.deltaSince(5).upTo, 7);
   view.apply(delta(7, 8, withAdapters(8, 'a1')));
   view.apply(delta(8, 9, withAdapters(9, 'a1', 'a2')));
-  t.deepEqual(view.since(8).changes, []);
-  const [entry] = view.since(0).changes;
+  t.deepEqual(view.deltaSince(8).changes, []);
+  const [entry] = view.deltaSince(0).changes;
   t.is(entry?.revision, 9);
 });
--- a/packages/routing/test/store-watcher.test.ts
+++ b/packages/routing/test/store-watcher.test.ts
@@ -37,13 +37,13 @@
       },
     },
     publish: () => undefined,
-    onSource: () => undefined,
+    onReachabilityChange: () => undefined,
     onTakeOver: (takeOver) => takeOvers.push(takeOver),
   });
   watcher.start();
   const receiveView = (): void => {
     view.apply({ from: 0, upTo: 7, isWhole: true, changes: [] });
-    view.confirm(7, 0);
+    view.confirmUpToDate(7, 0);
   };
   return { timers, view, calls, takeOvers, watcher, receiveView };
 }
