--- a/packages/routing/src/core/budget/index.ts
+++ b/packages/routing/src/core/budget/index.ts
@@ -1,5 +1,5 @@
-/** Repeated sends. */
-export type { BudgetBounds, RepeatBudgetOptions } from './budget.js';
+/** Budget of retries, and the sliding sum that it counts with. */
+export type { BudgetBounds, RetryBudgetOptions } from './budget.js';
 export { RepeatBudget } from './budget.js';
-export { RepeatPermit } from './permit.js';
+export { RetryPermit } from './permit.js';
 export { SlidingSum } from './sliding-sum.js';
--- a/packages/routing/src/core/budget/permit.ts
+++ b/packages/routing/src/core/budget/permit.ts
@@ -1,36 +1,36 @@
-/** A repeat that a budget has allowed. */
+/** Permit for one retry that a budget has allowed. */
 
-/** What a permit tells its budget. */
-export interface PermitLedger {
-  /** The repeat arrived now at the latest, or never will. */
+/** Callbacks by which a permit reports to its budget. */
+export interface PermitCallbacks {
+  /** The retry has arrived, or never will. */
   readonly settled: () => void;
-  /** The repeat was not sent. */
+  /** The retry was not sent. */
   readonly released: () => void;
 }
 
-/** Leave for one repeat, which counts in the budget until a window after its arrival. */
-export class RepeatPermit {
+/** Permit for one retry, which counts in the budget until one window after its arrival. */
+export class RetryPermit {
   private isOpen = true;
 
+  constructor(private readonly callbacks: PermitCallbacks) {}
+
   /**
-   * Makes an open permit.
-   * @param ledger - The budget that counts it.
+   * Notes that the retry has arrived, or never will. Does nothing on a permit that was settled or released.
    */
-  constructor(private readonly ledger: PermitLedger) {}
-
-  /** Notes that the repeat arrived now at the latest, or never will; later calls change nothing. */
   settle(): void {
-    this.close(this.ledger.settled);
+    this.close(this.callbacks.settled);
   }
 
-  /** Gives the permit back, as the repeat was not sent; later calls change nothing. */
+  /**
+   * Returns the permit of a retry that was not sent. Does nothing on a permit that was settled or released.
+   */
   release(): void {
-    this.close(this.ledger.released);
+    this.close(this.callbacks.released);
   }
 
-  private close(tell: () => void): void {
+  private close(callback: () => void): void {
     if (!this.isOpen) return;
     this.isOpen = false;
-    tell();
+    callback();
   }
 }
--- a/packages/routing/src/core/budget/sliding-sum.ts
+++ b/packages/routing/src/core/budget/sliding-sum.ts
@@ -1,72 +1,70 @@
-/** A sum over a window that slides with time. */
+/** Sum of the amounts that were added within a sliding time window. */
 
-/** Parts into which the window is cut; a finer cut counts more exactly. */
-const PARTS = 80;
+/** Buckets that the window is divided into; more buckets make the sum more exact. */
+const BUCKETS = 80;
 
-/** Sums in a sliding window. */
+/** Adds up amounts by time and drops them bucket by bucket as they leave the window. */
 export class SlidingSum {
-  private readonly sums = new Array<number>(PARTS).fill(0);
+  private readonly sums = new Array<number>(BUCKETS).fill(0);
 
-  private readonly partMs: number;
+  private readonly bucketMs: number;
 
-  private part = 0;
+  /** Number of the bucket that is being filled, counted from the start of the clock. */
+  private currentBucket = 0;
 
   private sum = 0;
 
-  /**
-   * Makes an empty sum.
-   * @param windowMs - Length of the window, in milliseconds.
-   */
+  /** @param windowMs - Length of the window, in milliseconds. */
   constructor(windowMs: number) {
-    // The part that is being filled counts beside a whole window.
-    this.partMs = windowMs / (PARTS - 1);
+    // The bucket that is being filled comes in addition to those that span the whole window.
+    this.bucketMs = windowMs / (BUCKETS - 1);
   }
 
   /**
-   * Adds to the sum.
-   * @param amount - What to add; below 0 to take back.
-   * @param now - Monotonic milliseconds.
+   * Adds an amount.
+   * @param amount - Below 0 to take back what was added.
+   * @param now - Monotonic time, in milliseconds.
    */
   add(amount: number, now: number): void {
     this.slide(now);
-    this.sums[this.part % PARTS]! += amount;
+    this.sums[this.currentBucket % BUCKETS]! += amount;
     this.sum += amount;
   }
 
   /**
-   * Fills the window evenly, as if so much had been added within it.
-   * @param amount - The sum.
-   * @param now - Monotonic milliseconds.
+   * Replaces the contents by an amount that is spread evenly over the window.
+   * @param amount - The new sum.
+   * @param now - Monotonic time, in milliseconds.
    */
   assume(amount: number, now: number): void {
     this.slide(now);
-    this.sums.fill(amount / PARTS);
+    this.sums.fill(amount / BUCKETS);
     this.sum = amount;
   }
 
   /**
-   * Tells the sum.
-   * @param now - Monotonic milliseconds.
-   * @returns What was added within the window.
+   * Returns the sum of what was added within the window.
+   * @param now - Monotonic time, in milliseconds.
    */
   total(now: number): number {
     this.slide(now);
     return this.sum;
   }
 
-  /** Time until the oldest part leaves the window, in milliseconds. */
+  /** Time until the oldest bucket leaves the window, in milliseconds. */
   nextChangeMs(now: number): number {
-    return (Math.floor(now / this.partMs) + 1) * this.partMs - now;
+    return (Math.floor(now / this.bucketMs) + 1) * this.bucketMs - now;
   }
 
+  /** Clears the buckets that have left the window. */
   private slide(now: number): void {
-    const part = Math.floor(now / this.partMs);
-    const steps = Math.min(PARTS, part - this.part);
+    const bucket = Math.floor(now / this.bucketMs);
+    const steps = Math.min(BUCKETS, bucket - this.currentBucket);
     for (let step = 1; step <= steps; step += 1) {
-      const index = (this.part + step) % PARTS;
+      const index = (this.currentBucket + step) % BUCKETS;
       this.sum -= this.sums[index]!;
       this.sums[index] = 0;
     }
-    this.part = Math.max(part, this.part);
+    this.currentBucket = Math.max(bucket, this.currentBucket);
   }
 }
--- a/packages/routing/src/core/requests/execution.ts
+++ b/packages/routing/src/core/requests/execution.ts
@@ -8,7 +8,7 @@
 import type { ServerResponse } from 'node:http';
 
 import type { AccountMetrics, AccountQuotas, ClientAccount } from '../accounts/index.js';
-import type { RepeatBudget, RepeatPermit } from '../budget/index.js';
+import type { RepeatBudget, RetryPermit } from '../budget/index.js';
 import type { Route } from '../catalog/index.js';
 import { RouteKind } from '../catalog/index.js';
 import type { ChannelPool } from '../channels/index.js';
@@ -119,7 +119,7 @@
   private sentAfter = 0;
 
   /** Leave for the next send; undefined for a first one. */
-  private permit: RepeatPermit | undefined;
+  private permit: RetryPermit | undefined;
 
   /** Monotonic time at which that was reserved, in milliseconds. */
   private reservedAt = 0;
@@ -163,7 +163,7 @@
   /** Goes the whole way; the caller has its answer when it ends. */
   async run(): Promise<void> {
     const { res, service } = this.options;
-    this.parts.budget(service).earn();
+    this.parts.budget(service).countRequest();
     const onClose = (): void => this.leave('The caller left.');
     res.once('close', onClose);
     const timer = this.startTimer();
@@ -293,7 +293,7 @@
   }
 
   /** Takes the permit of a repeat for the send that begins. */
-  private takePermit(sentAt: number): RepeatPermit | undefined {
+  private takePermit(sentAt: number): RetryPermit | undefined {
     const { permit } = this;
     this.permit = undefined;
     this.reservedAgoMs = permit === undefined ? undefined : Math.round(sentAt - this.reservedAt);
@@ -343,7 +343,7 @@
       lastedMs: Math.round(timers.now() - this.options.arrivedAt) - this.sentAfter,
       running: inFlight.counts(replica.id).running,
       reservedAgoMs: this.reservedAgoMs,
-      budgetLeft: Math.floor(budget(service).left()),
+      budgetLeft: Math.floor(budget(service).available()),
       fleetShare: fleetShare(),
       viewAgeMs: viewAgeMs(),
     });
