--- a/packages/routing/src/core/requests/attempt.ts
+++ b/packages/routing/src/core/requests/attempt.ts
@@ -1,4 +1,4 @@
-/** One send of a request to one replica: the answer is held whole, or relayed as a stream. */
+/** One attempt of a request at one replica: the response is buffered whole, or relayed as a stream. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { AnswerSink, ChannelPool, HeaderMap, RunningExchange, UpstreamCall } from '../channels/index.js';
@@ -9,31 +9,32 @@
 import { AttemptOutcome } from './types.js';
 
 const OK = 200;
-const SUCCESS_BELOW = 300;
-/** Largest answer that is held whole, in bytes; plain services answer with some kilobytes. */
-const MAX_HELD_BYTES = 16 * 1024 * 1024;
+const SUCCESS_END = 300;
+/** Largest response that is buffered, in bytes; plain services respond with some kilobytes. */
+const MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-/** A send. */
+/** What to send, where to, and who is informed of its progress. */
 export interface AttemptOptions {
   readonly pool: ChannelPool;
   readonly dialect: RequestDialect;
   readonly timers: TimerService;
   readonly replica: ReplicaEntry;
   readonly call: UpstreamCall;
-  /** Names the request; the answer must bear it. */
+  /** Id of the request; the response must carry the same one. */
   readonly requestId: string;
-  /** Where a stream goes; undefined when every answer is to be held. */
+  /** Receives a streamed response; undefined when every response is buffered. */
   readonly relay: StreamRelay | undefined;
-  /** Called when the answer begins: a stream with its first event. */
-  readonly onAnswer: () => void;
-  /** Called with each piece that comes from the replica. */
-  readonly onHeard: () => void;
-  /** Called with the limit that the answer names; undefined when it names none. */
-  readonly onLimit: (limitPerSecond: number | undefined) => void;
+  /** Called for each chunk of a relayed stream; the first one shows that the prefill has ended. */
+  readonly onStreamData: () => void;
+  /** Called for the head and for each chunk that the replica sends. */
+  readonly onDataReceived: () => void;
+  /** Called with the rate limit that the response states; undefined when it states none. */
+  readonly onRateLimit: (limitPerSecond: number | undefined) => void;
 }
 
-/** A send in progress. */
+/** Sends a request to a replica on construction, and classifies how that ends. */
 export class Attempt implements AnswerSink {
+  /** Settles when the attempt ends; never rejects. */
   readonly result: Promise<AttemptResult>;
 
   private readonly exchange: RunningExchange;
@@ -50,7 +51,7 @@
 
   private headers: HeaderMap = {};
 
-  private notes: AnswerNotes | undefined;
+  private metadata: AnswerNotes | undefined;
 
   private isRelaying = false;
 
@@ -60,10 +61,6 @@
 
   private hasSettled = false;
 
-  /**
-   * Sends.
-   * @param options - What, where to, and where the answer goes.
-   */
   constructor(private readonly options: AttemptOptions) {
     this.result = new Promise((resolve) => {
       this.resolve = resolve;
@@ -72,10 +69,7 @@
     this.exchange = options.pool.send(options.replica, options.call, this);
   }
 
-  /**
-   * Gives the send up; the replica sees its connection close.
-   * @param reason - Why.
-   */
+  /** Cancels the attempt; the replica sees its connection close. */
   cancel(reason: string): void {
     this.settle(AttemptOutcome.Cancelled, reason);
     this.exchange.cancel(reason);
@@ -86,18 +80,18 @@
   }
 
   onHead(status: number, headers: HeaderMap): void {
-    this.options.onHeard();
+    this.options.onDataReceived();
     this.firstByteMs = this.options.timers.now() - this.startedAt;
     this.status = status;
     this.headers = headers;
-    this.notes = this.options.dialect.readAnswer(status, headers);
-    const { requestId, limitPerSecond } = this.notes;
-    const isForeign = requestId !== undefined && requestId !== this.options.requestId;
-    if (!isForeign) this.options.onLimit(limitPerSecond);
-    const isSuccess = status >= OK && status < SUCCESS_BELOW;
-    const lacksProof = isSuccess && (requestId === undefined || !this.notes.isSigned);
-    if (isForeign || lacksProof) {
-      this.giveUp(isForeign ? 'The answer belongs to another request.' : 'The answer lacks its signature.');
+    this.metadata = this.options.dialect.readAnswer(status, headers);
+    const { requestId, limitPerSecond } = this.metadata;
+    const isOfOtherRequest = requestId !== undefined && requestId !== this.options.requestId;
+    if (!isOfOtherRequest) this.options.onRateLimit(limitPerSecond);
+    const isSuccess = status >= OK && status < SUCCESS_END;
+    const isUnsigned = isSuccess && (requestId === undefined || !this.metadata.isSigned);
+    if (isOfOtherRequest || isUnsigned) {
+      this.fail(isOfOtherRequest ? 'response belongs to another request' : 'response is not signed');
       return;
     }
     const { relay } = this.options;
@@ -107,15 +101,16 @@
 
   onData(chunk: Buffer): void {
     if (this.hasSettled) return;
-    this.options.onHeard();
+    this.options.onDataReceived();
     if (this.isRelaying) {
-      this.options.onAnswer();
-      if (!this.options.relay!.take(chunk)) this.giveUp('The stream does not fit what the caller has.');
+      this.options.onStreamData();
+      if (!this.options.relay!.forward(chunk))
+        this.fail('stream does not continue the events already relayed');
       return;
     }
     this.chunks.push(chunk);
     this.size += chunk.length;
-    if (this.size > MAX_HELD_BYTES) this.giveUp('The answer is too large to hold.');
+    if (this.size > MAX_BUFFERED_BYTES) this.fail('response is too large to buffer');
   }
 
   onEnd(): void {
@@ -123,30 +118,33 @@
       this.settle(AttemptOutcome.Relayed, '');
       return;
     }
-    if (this.notes?.isMisdirected) this.settle(AttemptOutcome.Misdirected, `status ${this.status}`);
-    else if (this.notes?.isNotRun) this.settle(AttemptOutcome.NotRun, `status ${this.status}`);
-    else this.settle(AttemptOutcome.Answered, `status ${this.status}`);
+    if (this.metadata?.isMisdirected) this.settle(AttemptOutcome.Misdirected, `status ${this.status}`);
+    else if (this.metadata?.isNotRun) this.settle(AttemptOutcome.NotRun, `status ${this.status}`);
+    else this.settle(AttemptOutcome.Responded, `status ${this.status}`);
   }
 
   onFail(failure: ChannelFailure, err: Error): void {
     if (failure === ChannelFailure.NotSent) this.settle(AttemptOutcome.NotRun, err.message);
-    // The head of a refusal is the proof; its body may be missing.
-    else if (this.notes?.isMisdirected) this.settle(AttemptOutcome.Misdirected, err.message);
-    else if (this.notes?.isNotRun) this.settle(AttemptOutcome.NotRun, err.message);
+    // The head alone proves that the request was refused; the body may be missing.
+    else if (this.metadata?.isMisdirected) this.settle(AttemptOutcome.Misdirected, err.message);
+    else if (this.metadata?.isNotRun) this.settle(AttemptOutcome.NotRun, err.message);
     else this.settle(this.isRelaying ? AttemptOutcome.BrokenStream : AttemptOutcome.Unknown, err.message);
   }
 
-  private giveUp(reason: string): void {
+  /** Ends the attempt because the response can't be used. */
+  private fail(reason: string): void {
     this.settle(this.isRelaying ? AttemptOutcome.BrokenStream : AttemptOutcome.Unknown, reason);
     this.exchange?.cancel(reason);
   }
 
-  private settle(end: AttemptOutcome, reason: string): void {
+  private settle(outcome: AttemptOutcome, reason: string): void {
     if (this.hasSettled) return;
     this.hasSettled = true;
     const { status, headers } = this;
-    const answer =
-      end === AttemptOutcome.Answered ? { status, headers, body: Buffer.concat(this.chunks) } : undefined;
-    this.resolve({ end, answer, reason, wasSent: this.wasSent, firstByteMs: this.firstByteMs });
+    const response =
+      outcome === AttemptOutcome.Responded
+        ? { status, headers, body: Buffer.concat(this.chunks) }
+        : undefined;
+    this.resolve({ outcome, response, reason, wasSent: this.wasSent, firstByteMs: this.firstByteMs });
   }
 }
--- a/packages/routing/src/core/requests/body.ts
+++ b/packages/routing/src/core/requests/body.ts
@@ -1,18 +1,17 @@
-/** Reads the body of a caller's request whole, so that it can be sent again where that is allowed. */
+/** Reads the whole body of a caller's request, so that the request can be retried where that is allowed. */
 import type { IncomingMessage } from 'node:http';
 
 /** Why a body was not read. */
 export enum BodyProblem {
   TooLarge = 'tooLarge',
-  /** The caller left or broke the body off. */
+  /** The connection ended or failed before the whole body was received. */
   Broken = 'broken',
 }
 
 /**
  * Reads a body.
- * @param req - The request.
- * @param limitBytes - Largest size.
- * @returns The bytes, undefined when there is none, or why it was not read.
+ * @param limitBytes - Largest size that is accepted.
+ * @returns The bytes, undefined when the request has no body, or why it was not read.
  */
 export function readCallerBody(
   req: IncomingMessage,
--- a/packages/routing/src/core/requests/execution.ts
+++ b/packages/routing/src/core/requests/execution.ts
@@ -1,8 +1,9 @@
 /**
- * One request's way: choose a replica, have the adapter there, send, and decide what a failure allows.
+ * Serves one request: chooses a replica, loads the adapter on it, sends the request, and decides what to do
+ * on a failure.
  *
- * A request that may have run is sent again only where its route allows that; one that is proved not to have run may
- * go to another replica in any case. Every repeat is reserved in the budget.
+ * A request that may have run is retried only where its route allows that; one that certainly did not run may
+ * go to another replica in any case. Each retry is reserved in the retry budget.
  */
 import type { TimerHandle } from '@celeryyoke/core';
 import type { ServerResponse } from 'node:http';
@@ -18,37 +19,40 @@
 import type { PromptAdmission } from '../pacing/index.js';
 import type { ReplicaEntry } from '../view/index.js';
 import { LocalReply, sendLocalReply } from './local-reply.js';
-import type { EngineStream, StreamMigrations, Moved } from './migration.js';
-import type { FinderParts, SoughtRequest } from './finder.js';
+import type { EngineStream, StreamMigrations, MigratedStream } from './migration.js';
+import type { FinderDependencies, RoutedRequest } from './finder.js';
 import { ReplicaFinder } from './finder.js';
-import { beginAnswer } from './headers.js';
+import { writeResponseHead } from './headers.js';
 import { PrefillAdmission, PrefillWait } from './prefill-wait.js';
 import { StreamRelay } from './relay.js';
 import { Attempt } from './attempt.js';
 
-import type { HeldAnswer, RequestDialect, RequestHead, AttemptResult } from './types.js';
-import { AttemptOutcome, waitMsOf } from './types.js';
+import type { BufferedResponse, RequestDialect, RequestHead, AttemptResult } from './types.js';
+import { AttemptOutcome, requestTimeoutMs } from './types.js';
 
-/** When a refused caller may come back, in milliseconds. */
+/** Time after which a refused caller may retry, in milliseconds. */
 const RETRY_AFTER_MS = 250;
-/** The same for a generation: an engine gets its next owner and shows what it holds in about that time. */
+/**
+ * Shortest such time for a generation: an engine gets a new owner and reports its adapters in about that
+ * time.
+ */
 const GENERATION_RETRY_AFTER_MS = 600;
-/** Part of its time after which a refused generation comes back at last: callers wait a third at most. */
+/** Share of the time left after which a refused generation may retry: callers wait a third of it at most. */
 const RETRY_AFTER_SHARE = 0.3;
-/** Most sends of one request that were refused without having run. */
+/** Largest number of attempts of one request that are refused without having run. */
 const MAX_REFUSALS = 4;
-const FIRST_FAILURE_STATUS = 500;
-/** Outcome of a request whose caller left before an answer. */
-const LEFT = 'left';
+const MIN_FAILURE_STATUS = 500;
+/** Outcome of a request whose caller closed the connection first. */
+const CALLER_LEFT = 'left';
 
 /** Outcomes after which it is certain that the replica did not run the request. */
-const PROVED_NOT_RUN: ReadonlySet<AttemptOutcome> = new Set([
+const NOT_RUN_OUTCOMES: ReadonlySet<AttemptOutcome> = new Set([
   AttemptOutcome.NotRun,
   AttemptOutcome.Misdirected,
 ]);
 
-/** What an execution uses of the daemon. */
-export interface RequestExecutionParts extends FinderParts {
+/** Components of the daemon that an execution uses. */
+export interface ExecutionDependencies extends FinderDependencies {
   readonly dialect: RequestDialect;
   readonly pool: ChannelPool;
   readonly inFlight: InFlightTable;
@@ -56,19 +60,19 @@
   readonly migrations: StreamMigrations;
   readonly admission: PromptAdmission;
   readonly limits: ReplicaLimits;
-  /** Notes that an engine does not hold an adapter. */
+  /** Notes that an adapter is not resident on an engine. */
   readonly notHeld: (replica: string, key: string) => void;
-  /** Age of what is known of the platform, in milliseconds. */
+  /** Age of this daemon's view of the platform, in milliseconds. */
   readonly viewAgeMs: () => number;
   readonly quotas: AccountQuotas;
   readonly accountMetrics: AccountMetrics;
-  /** This daemon's part of what the whole fleet is allowed, from 0 to 1. */
+  /** This daemon's part of the allowances of the whole fleet, from 0 to 1. */
   readonly fleetShare: () => number;
-  /** The budget of a service. */
+  /** Retry budget of a service. */
   readonly budget: (service: string) => RepeatBudget;
 }
 
-/** A request that begins its way. */
+/** A request that was accepted and is to be served. */
 export interface RequestExecutionOptions {
   readonly head: RequestHead;
   readonly body: Buffer | undefined;
@@ -79,11 +83,11 @@
   /** The client account; undefined for an anonymous request. */
   readonly account: ClientAccount | undefined;
   readonly res: ServerResponse;
-  /** Monotonic time of its arrival. */
+  /** Monotonic time of its arrival, in milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** One request's way. */
+/** Serves one request, in as many attempts as it takes and its route and the retry budget allow. */
 export class RequestExecution {
   private readonly finder: ReplicaFinder;
 
@@ -95,85 +99,85 @@
 
   private readonly relay: StreamRelay | undefined;
 
-  private send: Attempt | undefined;
+  private attempt: Attempt | undefined;
 
-  private sends = 0;
+  private attemptCount = 0;
 
-  /** Whether any replica may have run it. */
+  /** Whether any replica may have run the request. */
   mayHaveRun = false;
 
-  /** Whether any replica may have got it, whatever it did with it. */
+  /** Whether any replica may have received the request, whether or not it ran it. */
   private mayHaveArrived = false;
 
-  /** Sends after which the request may have run. */
-  private runs = 0;
+  /** Number of attempts in which the request may have run. */
+  private possibleRuns = 0;
 
+  /** Number of attempts that were refused without having run. */
   private refusals = 0;
 
-  /** Ends a wait when the request is over. */
-  private readonly overSignal = new AbortController();
+  /** Aborts waits when the request ends. */
+  private readonly endController = new AbortController();
 
-  /** Where a stream goes on that was moved off its engine. */
-  private moved: Moved | undefined;
+  /** Where the stream continues after a migration. */
+  private migrated: MigratedStream | undefined;
 
-  private sentAfter = 0;
+  /** Time from the arrival to the last attempt, in milliseconds. */
+  private sentAfterMs = 0;
 
-  /** Leave for the next send; undefined for a first one. */
-  private permit: RetryPermit | undefined;
+  /** Permit for the next attempt; undefined when that is no retry. */
+  private retryPermit: RetryPermit | undefined;
 
-  /** Monotonic time at which that was reserved, in milliseconds. */
-  private reservedAt = 0;
+  /** Monotonic time at which the permit was reserved, in milliseconds. */
+  private retryReservedAt = 0;
 
-  /** Time from the reservation to the last send, in milliseconds; undefined when that was a first one. */
+  /**
+   * Time from the reservation of the last attempt until it was sent, in milliseconds; undefined when it was
+   * no retry.
+   */
   private reservedAgoMs: number | undefined;
 
-  private isOver = false;
+  private hasEnded = false;
 
-  /** What the caller got, for the figures. */
-  private outcome: string = LEFT;
+  /** What the caller received, for the metrics. */
+  private outcome: string = CALLER_LEFT;
 
-  /** The last whole answer that a repeat might better. */
-  private held: HeldAnswer | undefined;
+  /** Last failure response of a replica, sent to the caller unless a retry succeeds. */
+  private bufferedResponse: BufferedResponse | undefined;
 
-  /**
-   * Makes an execution.
-   * @param parts - The daemon's parts.
-   * @param options - The request.
-   */
   constructor(
-    private readonly parts: RequestExecutionParts,
+    private readonly parts: ExecutionDependencies,
     private readonly options: RequestExecutionOptions,
   ) {
     const { head, route, res, arrivedAt, account } = options;
     this.rank = account?.rank ?? route.rank;
-    this.deadlineAt = arrivedAt + waitMsOf(head, route);
+    this.deadlineAt = arrivedAt + requestTimeoutMs(head, route);
     if (route.kind === RouteKind.Streaming)
       this.relay = new StreamRelay(res, head.lastEventId, parts.timers.now);
-    const sought: SoughtRequest = {
+    const request: RoutedRequest = {
       ...options,
       rank: this.rank,
       deadlineAt: this.deadlineAt,
-      isOver: () => this.isOver,
-      isUnderWay: () => this.relay?.hasBegun ?? false,
+      hasEnded: () => this.hasEnded,
+      hasResponseBegun: () => this.relay?.hasBegun ?? false,
     };
-    this.finder = new ReplicaFinder(parts, sought);
-    this.prefillWait = new PrefillWait(parts, sought);
+    this.finder = new ReplicaFinder(parts, request);
+    this.prefillWait = new PrefillWait(parts, request);
   }
 
-  /** Goes the whole way; the caller has its answer when it ends. */
+  /** Serves the request; when it resolves, the response to the caller has ended. */
   async run(): Promise<void> {
     const { res, service } = this.options;
     this.parts.budget(service).countRequest();
-    const onClose = (): void => this.leave('The caller left.');
+    const onClose = (): void => this.end('caller closed the connection');
     res.once('close', onClose);
-    const timer = this.startTimer();
+    const timer = this.startDeadlineTimer();
     try {
-      await this.goOn();
+      await this.attemptUntilDone();
     } finally {
-      this.permit?.release();
+      this.retryPermit?.release();
       timer.cancel();
       res.off('close', onClose);
-      this.parts.metrics.ended(
+      this.parts.metrics.recordRequest(
         this.options.route.kind,
         this.outcome,
         this.parts.timers.now() - this.options.arrivedAt,
@@ -181,62 +185,73 @@
     }
   }
 
-  private startTimer(): TimerHandle {
+  private startDeadlineTimer(): TimerHandle {
     const { timers } = this.parts;
     return timers.after(Math.max(0, this.deadlineAt - timers.now()), () => {
-      if (this.runs > 0 || this.send !== undefined) this.finish(LocalReply.TimedOut, 'The time is over.');
-      else this.finish(LocalReply.NotRun, 'No replica could take it in time.', RETRY_AFTER_MS);
-      this.leave('The time is over.');
+      if (this.possibleRuns > 0 || this.attempt !== undefined)
+        this.finishLocally(LocalReply.TimedOut, 'The time is over.');
+      else this.finishLocally(LocalReply.NotRun, 'No replica could take it in time.', RETRY_AFTER_MS);
+      this.end('deadline exceeded');
     });
   }
 
-  private leave(reason: string): void {
-    this.isOver = true;
-    this.overSignal.abort();
-    this.send?.cancel(reason);
+  /** Ends the request and cancels the attempt in progress. */
+  private end(reason: string): void {
+    this.hasEnded = true;
+    this.endController.abort();
+    this.attempt?.cancel(reason);
   }
 
-  private async goOn(): Promise<void> {
-    while (!this.isOver) {
-      const { moved } = this;
-      const choice = moved?.choice ?? (await this.finder.find());
-      if (choice === undefined || this.isOver) break;
-      const result = await this.sendInTurn(choice, moved?.continuation);
-      if (result !== undefined && !this.mayGoOn(choice, result)) break;
+  /** Makes attempts until the request has ended or no other attempt is allowed. */
+  private async attemptUntilDone(): Promise<void> {
+    while (!this.hasEnded) {
+      const { migrated } = this;
+      const choice = migrated?.choice ?? (await this.finder.find());
+      if (choice === undefined || this.hasEnded) break;
+      const result = await this.admitAndSend(choice, migrated?.continuation);
+      if (result !== undefined && !this.handleResult(choice, result)) break;
     }
-    if (!this.isOver) this.giveUp();
+    if (!this.hasEnded) this.finishUnserved();
   }
 
-  /** Has the prompt admitted and sends it; undefined when the request is over or its replica can't take it any more. */
-  private async sendInTurn(
+  /**
+   * Waits for the admission of the prompt and for the replica's rate limit, and sends the request.
+   * @returns The result; undefined when the request has ended or the replica can't take it any more.
+   */
+  private async admitAndSend(
     choice: Choice,
     continuation: string | undefined,
   ): Promise<AttemptResult | undefined> {
     const { inFlight, chooser, notHeld } = this.parts;
     const { replica } = choice;
-    const key = this.useKey();
-    // It counts from now on, so that its adapter stays.
+    const key = this.adapterKey();
+    // The request counts as in flight from now on, so that its adapter is not evicted.
     const note = inFlight.begin(replica.id, key);
     try {
       const { isLate } = this.finder;
-      const admission = await this.prefillWait.run(replica, key, isLate, this.overSignal.signal);
-      if (this.isOver) return undefined;
+      const admission = await this.prefillWait.waitForAdmission(
+        replica,
+        key,
+        isLate,
+        this.endController.signal,
+      );
+      if (this.hasEnded) return undefined;
       if (admission === PrefillAdmission.NotResident) {
         notHeld(replica.id, key!);
         return undefined;
       }
       if (admission === PrefillAdmission.Full) return undefined;
       if (admission === PrefillAdmission.Delayed && !chooser.takesWork(replica)) return undefined;
-      // A stream whose memory has been moved can go on nowhere else.
+      // A migrated stream can't continue on another replica, as the state of its run was copied to this one.
       const isAdmitted = await this.parts.limits.admit(replica.id);
-      if (this.isOver || (!isAdmitted && continuation === undefined)) return undefined;
-      return await this.sendTo(choice, continuation, note);
+      if (this.hasEnded || (!isAdmitted && continuation === undefined)) return undefined;
+      return await this.sendAttempt(choice, continuation, note);
     } finally {
       note.ended();
     }
   }
 
-  private async sendTo(
+  private async sendAttempt(
     { replica, heldVersion }: Choice,
     continuation: string | undefined,
     note: RunningNote,
@@ -250,16 +265,16 @@
       rank: head.generation === undefined ? undefined : this.rank,
       hasAccounts,
       account: account?.name,
-      lastEventId: this.relay?.lastId,
+      lastEventId: this.relay?.lastEventId,
       continuation,
     });
     const call = { method: head.method, path: head.target, headers, body };
-    this.sends += 1;
+    this.attemptCount += 1;
     const sentAt = timers.now();
-    this.sentAfter = Math.round(sentAt - this.options.arrivedAt);
-    const permit = this.takePermit(sentAt);
+    this.sentAfterMs = Math.round(sentAt - this.options.arrivedAt);
+    const retryPermit = this.consumeRetryPermit(sentAt);
     health.sent(replica.id);
-    this.send = new Attempt({
+    this.attempt = new Attempt({
       pool,
       dialect,
       timers,
@@ -267,80 +282,82 @@
       call,
       requestId: head.id,
       relay: this.relay,
-      onAnswer: note.answered,
-      onHeard: () => {
-        permit?.settle();
+      onStreamData: note.answered,
+      onDataReceived: () => {
+        retryPermit?.settle();
         health.heard(replica.id);
       },
-      onLimit: (limitPerSecond) => limits.noteAnswer(replica.id, limitPerSecond, sentAt),
+      onRateLimit: (limitPerSecond) => limits.noteAnswer(replica.id, limitPerSecond, sentAt),
     });
-    const result = await this.resultOf(this.send, replica);
-    this.send = undefined;
+    const result = await this.awaitResult(this.attempt, replica);
+    this.attempt = undefined;
     if (result.wasSent) {
       this.mayHaveArrived = true;
-      permit?.settle();
-    } else permit?.release();
-    if (!PROVED_NOT_RUN.has(result.end) && result.wasSent) this.mayHaveRun = true;
+      retryPermit?.settle();
+    } else retryPermit?.release();
+    if (!NOT_RUN_OUTCOMES.has(result.outcome) && result.wasSent) this.mayHaveRun = true;
     health.ended(replica.id);
-    this.parts.metrics.sent(result.end);
+    this.parts.metrics.recordAttempt(result.outcome);
     if (result.firstByteMs !== undefined && head.generation !== undefined)
       this.parts.admission.noteFirstEvent(replica, {
         tokens: head.generation.promptTokens,
         ms: result.firstByteMs,
       });
-    judge(replica, result, health);
+    recordHealth(replica, result, health);
     return result;
   }
 
-  /** Takes the permit of a repeat for the send that begins. */
-  private takePermit(sentAt: number): RetryPermit | undefined {
-    const { permit } = this;
-    this.permit = undefined;
-    this.reservedAgoMs = permit === undefined ? undefined : Math.round(sentAt - this.reservedAt);
-    if (this.reservedAgoMs !== undefined) this.parts.metrics.repeated(this.reservedAgoMs);
-    return permit;
+  /** Takes the permit for the attempt that begins; undefined when that is no retry. */
+  private consumeRetryPermit(sentAt: number): RetryPermit | undefined {
+    const { retryPermit } = this;
+    this.retryPermit = undefined;
+    this.reservedAgoMs = retryPermit === undefined ? undefined : Math.round(sentAt - this.retryReservedAt);
+    if (this.reservedAgoMs !== undefined) this.parts.metrics.recordRetryDelay(this.reservedAgoMs);
+    return retryPermit;
   }
 
-  /** Waits for a send; a stream is moved meanwhile if its engine is taken away. */
-  private async resultOf(send: Attempt, replica: ReplicaEntry): Promise<AttemptResult> {
+  /**
+   * Waits for the end of an attempt; a stream is migrated meanwhile if its engine is about to be shut down.
+   */
+  private async awaitResult(attempt: Attempt, replica: ReplicaEntry): Promise<AttemptResult> {
     const { migrations } = this.parts;
     const { head, service } = this.options;
     const { generation } = head;
-    this.moved = undefined;
-    if (generation === undefined || this.relay === undefined) return send.result;
+    this.migrated = undefined;
+    if (generation === undefined || this.relay === undefined) return attempt.result;
     const stream: EngineStream = { request: head.id, service, rank: this.rank, generation, replica };
-    const migration = migrations.enter(stream);
-    const result = await send.result;
-    this.moved = await migrations.leave(migration, result.end === AttemptOutcome.BrokenStream);
+    const migration = migrations.register(stream);
+    const result = await attempt.result;
+    this.migrated = await migrations.complete(migration, result.outcome === AttemptOutcome.BrokenStream);
     return result;
   }
 
-  /** One line for each send that did not simply succeed; the others are told as details. */
-  private tellSend(
+  /** Logs an attempt: failures always, successes only when details are logged. */
+  private logAttempt(
     replica: ReplicaEntry,
-    { end, answer, reason, wasSent, firstByteMs }: AttemptResult,
+    { outcome, response, reason, wasSent, firstByteMs }: AttemptResult,
   ): void {
     const { log, budget, fleetShare, inFlight, timers, viewAgeMs } = this.parts;
     const { head, route, service } = this.options;
-    const isOrdinary =
-      end === AttemptOutcome.Relayed || (answer !== undefined && answer.status < FIRST_FAILURE_STATUS);
-    if (isOrdinary && !log.hasDetails) return;
-    const write = isOrdinary ? log.detail : log.decide;
-    write('request.send', `The send to ${replica.id} ended: ${end}.`, {
+    const isSuccess =
+      outcome === AttemptOutcome.Relayed || (response !== undefined && response.status < MIN_FAILURE_STATUS);
+    if (isSuccess && !log.hasDetails) return;
+    const write = isSuccess ? log.detail : log.decide;
+    write('request.send', `The attempt at ${replica.id} ended: ${outcome}.`, {
       request: head.id,
       route: route.name,
       replica: replica.id,
-      outcome: end,
-      status: answer?.status,
+      outcome,
+      status: response?.status,
       reason,
       wasSent,
-      send: this.sends,
-      sentAfterMs: this.sentAfter,
+      send: this.attemptCount,
+      sentAfterMs: this.sentAfterMs,
       loadMs: this.finder.loadMs,
-      heldBackMs: this.prefillWait.heldMs,
-      longestPauseMs: this.relay === undefined ? undefined : Math.round(this.relay.longestPauseMs),
+      heldBackMs: this.prefillWait.totalDelayMs,
+      longestPauseMs: this.relay === undefined ? undefined : Math.round(this.relay.longestGapMs),
       firstByteMs: firstByteMs === undefined ? undefined : Math.round(firstByteMs),
-      lastedMs: Math.round(timers.now() - this.options.arrivedAt) - this.sentAfter,
+      lastedMs: Math.round(timers.now() - this.options.arrivedAt) - this.sentAfterMs,
       running: inFlight.counts(replica.id).running,
       reservedAgoMs: this.reservedAgoMs,
       budgetLeft: Math.floor(budget(service).available()),
@@ -349,172 +366,196 @@
     });
   }
 
-  /** Decides what follows from the end of a send; when nothing does, the caller has been answered. */
-  private mayGoOn({ replica }: Choice, result: AttemptResult): boolean {
+  /**
+   * Decides what follows from the result of an attempt.
+   * @returns Whether another attempt is to be made.
+   */
+  private handleResult({ replica }: Choice, result: AttemptResult): boolean {
     this.finder.tried.add(replica.id);
-    this.tellSend(replica, result);
-    if (this.isOver) return false;
-    return decide(this, replica, result);
+    this.logAttempt(replica, result);
+    if (this.hasEnded) return false;
+    return dispatchResult(this, replica, result);
   }
 
-  /** The replica's whole answer: passed on, unless it is a failure that another replica may better. */
-  onAnswered(answer: HeldAnswer): boolean {
-    this.runs += 1;
+  /**
+   * The replica sent a whole response: it goes to the caller, unless it is a failure and a retry is allowed.
+   */
+  onResponse(response: BufferedResponse): boolean {
+    this.possibleRuns += 1;
     const { kind, maxAttempts } = this.options.route;
-    const isFailure = answer.status >= FIRST_FAILURE_STATUS;
-    const canRepeat = kind === RouteKind.Safe && this.runs < maxAttempts && this.timeLeft() > 0;
-    if (isFailure && canRepeat && this.reserve()) {
-      this.held = answer;
+    const isFailure = response.status >= MIN_FAILURE_STATUS;
+    const canRetry = kind === RouteKind.Safe && this.possibleRuns < maxAttempts && this.remainingMs() > 0;
+    if (isFailure && canRetry && this.reserveRetry()) {
+      this.bufferedResponse = response;
       return true;
     }
-    this.deliver(answer);
+    this.sendResponse(response);
     return false;
   }
 
-  /** The stream was passed on to its end. */
+  /** The stream was relayed until its end. */
   onRelayed(): boolean {
     this.relay!.end();
-    this.parts.metrics.paused(this.relay!.longestPauseMs);
+    this.parts.metrics.recordStreamGap(this.relay!.longestGapMs);
     this.outcome = 'streamed';
-    this.isOver = true;
+    this.hasEnded = true;
     return false;
   }
 
-  /** Not run: another replica may take it, unless an earlier send has run that may not be repeated. */
+  /**
+   * Not run: goes to another replica, unless an earlier attempt may have run and the route allows no retry.
+   */
   onNotRun(): boolean {
     this.refusals += 1;
-    if (this.runs > 0 && !this.isRepeatable) return false;
-    return this.refusals < MAX_REFUSALS && this.mayRepeat();
+    if (this.possibleRuns > 0 && !this.isRetryable) return false;
+    return this.refusals < MAX_REFUSALS && this.tryReserveRetry();
   }
 
-  /** The replica is gone or lacks the adapter: what was believed of it is corrected, and the choice made again. */
+  /**
+   * The replica is gone or lacks the adapter: corrects what is known of it, so that the next choice takes
+   * that into account.
+   */
   onMisdirected(replica: ReplicaEntry): boolean {
-    const key = this.useKey();
+    const key = this.adapterKey();
     if (key !== undefined) {
       this.parts.notHeld(replica.id, key);
-      this.finder.doubt(replica.id);
+      this.finder.noteAdapterMissing(replica.id);
     }
     return this.onNotRun();
   }
 
-  /** It may have run: only a safe request goes on. */
-  onUnknown(): boolean {
-    this.runs += 1;
-    return this.isRepeatable && this.runs < this.options.route.maxAttempts && this.mayRepeat();
+  /** The request may have run: it is retried only where its route allows that. */
+  onOutcomeUnknown(): boolean {
+    this.possibleRuns += 1;
+    return this.isRetryable && this.possibleRuns < this.options.route.maxAttempts && this.tryReserveRetry();
   }
 
-  /** A stream broke: it goes on where it was moved, or behind the last event where the route allows it. */
+  /**
+   * A stream broke: it continues where it was migrated to, or after its last event if the route allows that.
+   */
   onBrokenStream(): boolean {
     const { isResumable, maxAttempts } = this.options.route;
-    if (this.moved !== undefined) {
-      // It is the same run that goes on, on any route.
-      this.runs = Math.max(1, this.runs);
-      return this.mayRepeat();
+    if (this.migrated !== undefined) {
+      // The same run continues, which is allowed on every route.
+      this.possibleRuns = Math.max(1, this.possibleRuns);
+      return this.tryReserveRetry();
     }
-    this.runs += 1;
-    return isResumable && this.runs < maxAttempts && this.mayRepeat();
+    this.possibleRuns += 1;
+    return isResumable && this.possibleRuns < maxAttempts && this.tryReserveRetry();
   }
 
-  private get isRepeatable(): boolean {
+  /** Whether the route allows retries of a request that may have run. */
+  private get isRetryable(): boolean {
     const { kind, isResumable } = this.options.route;
     return kind === RouteKind.Safe || (kind === RouteKind.Streaming && isResumable);
   }
 
-  private mayRepeat(): boolean {
-    return this.timeLeft() > 0 && this.reserve();
+  /** Reserves the next attempt if there is time left for it. */
+  private tryReserveRetry(): boolean {
+    return this.remainingMs() > 0 && this.reserveRetry();
   }
 
-  /** Reserves the next send in the budget; one that can only be the first to arrive is no repeat. */
-  private reserve(): boolean {
+  /**
+   * Reserves the next attempt in the retry budget. It is no retry while no earlier attempt can have arrived.
+   */
+  private reserveRetry(): boolean {
     if (!this.mayHaveArrived) return true;
     const { budget, metrics, timers } = this.parts;
-    this.permit = budget(this.options.service).reserve();
-    metrics.asked(this.permit !== undefined);
-    this.reservedAt = timers.now();
-    return this.permit !== undefined;
+    this.retryPermit = budget(this.options.service).reserve();
+    metrics.recordRetryDecision(this.retryPermit !== undefined);
+    this.retryReservedAt = timers.now();
+    return this.retryPermit !== undefined;
   }
 
-  private timeLeft(): number {
+  private remainingMs(): number {
     return this.deadlineAt - this.parts.timers.now();
   }
 
-  private useKey(): string | undefined {
+  /** `model/adapter` of a generation; undefined where it needs no adapter. */
+  private adapterKey(): string | undefined {
     const { generation } = this.options.head;
     return useKey({ model: generation?.model, adapter: generation?.adapter });
   }
 
-  private giveUp(): void {
-    if (this.held !== undefined) this.deliver(this.held);
-    else if (this.runs > 0) this.finish(LocalReply.OutcomeUnknown, 'It may have run, and no answer came.');
+  /** Ends the request when no further attempt is allowed. */
+  private finishUnserved(): void {
+    if (this.bufferedResponse !== undefined) this.sendResponse(this.bufferedResponse);
+    else if (this.possibleRuns > 0)
+      this.finishLocally(LocalReply.OutcomeUnknown, 'It may have run, and no answer came.');
     else {
       const isGeneration = this.options.head.generation !== undefined;
-      // Once more is all that callers try: late is late, and a crowd is gone in some seconds.
-      const laterMs = Math.max(GENERATION_RETRY_AFTER_MS, this.timeLeft() * RETRY_AFTER_SHARE);
-      const retryAfterMs = isGeneration ? laterMs : RETRY_AFTER_MS;
-      this.finish(LocalReply.NotRun, 'No replica can take it now.', retryAfterMs);
+      // Callers retry only once: their response is late either way, and bursts of load end in some seconds.
+      const delayMs = Math.max(GENERATION_RETRY_AFTER_MS, this.remainingMs() * RETRY_AFTER_SHARE);
+      const retryAfterMs = isGeneration ? delayMs : RETRY_AFTER_MS;
+      this.finishLocally(LocalReply.NotRun, 'No replica can take it now.', retryAfterMs);
     }
   }
 
-  private deliver({ status, headers, body }: HeldAnswer): void {
+  /** Sends a replica's buffered response to the caller. */
+  private sendResponse({ status, headers, body }: BufferedResponse): void {
     const { res } = this.options;
-    this.isOver = true;
+    this.hasEnded = true;
     this.outcome = `answered ${Math.floor(status / 100)}xx`;
     if (res.headersSent || res.destroyed) return;
-    beginAnswer(res, status, headers, body.length);
+    writeResponseHead(res, status, headers, body.length);
     res.end(body);
   }
 
-  private finish(kind: LocalReply, reason: string, retryAfterMs?: number): void {
-    this.isOver = true;
+  /**
+   * Ends the request with a local reply, or with the buffered failure response of a replica if there is one.
+   */
+  private finishLocally(kind: LocalReply, reason: string, retryAfterMs?: number): void {
+    this.hasEnded = true;
     this.outcome = kind;
     const { head, route } = this.options;
-    this.parts.log.decide('request.ended', `The caller gets: ${kind}. ${reason}`, {
+    this.parts.log.decide('request.ended', `The request ended with a local reply: ${kind}. ${reason}`, {
       request: head.id,
       route: route.name,
       routeKind: route.kind,
       outcome: kind,
-      sends: this.sends,
-      runs: this.runs,
+      sends: this.attemptCount,
+      runs: this.possibleRuns,
       refusals: this.refusals,
       afterMs: Math.round(this.parts.timers.now() - this.options.arrivedAt),
       limitMs: Math.round(this.deadlineAt - this.options.arrivedAt),
       loadMs: this.finder.loadMs,
       viewAgeMs: this.parts.viewAgeMs(),
     });
-    if (this.relay?.hasBegun) this.relay.breakOff();
-    else if (this.held !== undefined) this.deliver(this.held);
+    if (this.relay?.hasBegun) this.relay.abort();
+    else if (this.bufferedResponse !== undefined) this.sendResponse(this.bufferedResponse);
     else sendLocalReply(this.options.res, kind, reason, { retryAfterMs });
   }
 }
 
-/** Notes how a replica has done. */
-function judge(replica: ReplicaEntry, result: AttemptResult, health: ReplicaHealth): void {
-  const { end, answer, wasSent, firstByteMs } = result;
-  if (end === AttemptOutcome.Cancelled || end === AttemptOutcome.Misdirected) return;
-  if (end === AttemptOutcome.NotRun && !wasSent) health.unreachable(replica.id);
+/** Records the result of an attempt in the health of its replica. */
+function recordHealth(replica: ReplicaEntry, result: AttemptResult, health: ReplicaHealth): void {
+  const { outcome, response, wasSent, firstByteMs } = result;
+  if (outcome === AttemptOutcome.Cancelled || outcome === AttemptOutcome.Misdirected) return;
+  if (outcome === AttemptOutcome.NotRun && !wasSent) health.unreachable(replica.id);
   else {
-    const isFailure = answer !== undefined && answer.status >= FIRST_FAILURE_STATUS;
-    const isGood = end === AttemptOutcome.Relayed || (end === AttemptOutcome.Answered && !isFailure);
-    health.note(replica.id, isGood, isGood ? firstByteMs : undefined);
+    const isFailure = response !== undefined && response.status >= MIN_FAILURE_STATUS;
+    const isSuccess =
+      outcome === AttemptOutcome.Relayed || (outcome === AttemptOutcome.Responded && !isFailure);
+    health.note(replica.id, isSuccess, isSuccess ? firstByteMs : undefined);
   }
 }
 
-/** What each end of a send leads to; true when the execution goes on. */
-const DECISIONS: Readonly<
+/** Handlers by the outcome of an attempt; each returns whether another attempt is to be made. */
+const RESULT_HANDLERS: Readonly<
   Record<
     AttemptOutcome,
     (execution: RequestExecution, replica: ReplicaEntry, result: AttemptResult) => boolean
   >
 > = {
-  [AttemptOutcome.Answered]: (execution, _replica, { answer }) => execution.onAnswered(answer!),
+  [AttemptOutcome.Responded]: (execution, _replica, { response }) => execution.onResponse(response!),
   [AttemptOutcome.Relayed]: (execution) => execution.onRelayed(),
   [AttemptOutcome.NotRun]: (execution) => execution.onNotRun(),
   [AttemptOutcome.Misdirected]: (execution, replica) => execution.onMisdirected(replica),
-  [AttemptOutcome.Unknown]: (execution) => execution.onUnknown(),
+  [AttemptOutcome.Unknown]: (execution) => execution.onOutcomeUnknown(),
   [AttemptOutcome.BrokenStream]: (execution) => execution.onBrokenStream(),
   [AttemptOutcome.Cancelled]: () => false,
 };
 
-function decide(execution: RequestExecution, replica: ReplicaEntry, result: AttemptResult): boolean {
-  return DECISIONS[result.end](execution, replica, result);
+function dispatchResult(execution: RequestExecution, replica: ReplicaEntry, result: AttemptResult): boolean {
+  return RESULT_HANDLERS[result.outcome](execution, replica, result);
 }
--- a/packages/routing/src/core/requests/headers.ts
+++ b/packages/routing/src/core/requests/headers.ts
@@ -1,4 +1,4 @@
-/** The caller's side of a replica's headers. */
+/** Translates the headers of a replica's response into those of the response to the caller. */
 import type { ServerResponse } from 'node:http';
 
 import { isHopByHop } from '@celeryyoke/core';
@@ -6,47 +6,46 @@
 import type { HeaderMap } from '../channels/index.js';
 
 /**
- * Makes the headers of an answer to the caller from the replica's.
+ * Drops the hop-by-hop headers.
  * @param headers - The replica's headers.
- * @returns Names and values by turns, without those of one connection.
+ * @returns Alternating names and values.
  */
-export function passedHeaders(headers: HeaderMap): string[] {
-  const passed: string[] = [];
+export function endToEndHeaders(headers: HeaderMap): string[] {
+  const forwarded: string[] = [];
   const connection = typeof headers.connection === 'string' ? headers.connection : undefined;
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || isHopByHop(name, connection)) continue;
-    if (typeof value === 'string') passed.push(name, value);
-    else for (const one of value) passed.push(name, one);
+    if (typeof value === 'string') forwarded.push(name, value);
+    else for (const item of value) forwarded.push(name, item);
   }
-  return passed;
+  return forwarded;
 }
 
-/** Statuses whose answers have no body, so that a length is not missed. */
-const BODILESS: ReadonlySet<number> = new Set([204, 304]);
+/** Statuses whose responses have no body, and so need no length. */
+const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Begins the caller's answer in the framing of the replica's.
+ * Writes the head of the response to the caller, framed as the replica's response was.
  *
- * A replica's answer without a length ends with its connection, and nobody can tell whether it is whole. The caller
- * gets it in the same form: a length or chunks of our own would vouch for a body that may be short.
- * @param res - The caller's answer.
- * @param status - The replica's status.
+ * A response without a length ends when its connection closes, so nobody can tell whether it is complete. It
+ * is passed on in the same form: a content length or chunked encoding added here would vouch for a body that
+ * may be truncated.
  * @param headers - The replica's headers.
- * @param heldBytes - Size of the body when it is held whole; stated only where the replica's answer had a framing.
+ * @param bodyBytes - Size of a buffered body; sent only where the replica's response was framed.
  */
-export function beginAnswer(
+export function writeResponseHead(
   res: ServerResponse,
   status: number,
   headers: HeaderMap,
-  heldBytes?: number,
+  bodyBytes?: number,
 ): void {
   const isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
-  if (!isFramed && !BODILESS.has(status)) {
+  if (!isFramed && !BODYLESS_STATUSES.has(status)) {
     res.shouldKeepAlive = false;
     res.removeHeader('transfer-encoding');
-    res.writeHead(status, passedHeaders(headers));
+    res.writeHead(status, endToEndHeaders(headers));
     return;
   }
-  const length = heldBytes === undefined ? {} : { 'content-length': String(heldBytes) };
-  res.writeHead(status, passedHeaders({ ...headers, ...length }));
+  const length = bodyBytes === undefined ? {} : { 'content-length': String(bodyBytes) };
+  res.writeHead(status, endToEndHeaders({ ...headers, ...length }));
 }
--- a/packages/routing/src/core/requests/index.ts
+++ b/packages/routing/src/core/requests/index.ts
@@ -1,11 +1,11 @@
-/** Requests of callers, from their arrival to the answer. */
+/** Serves the requests of callers, from their arrival to the end of the response. */
 export { LocalReply } from './local-reply.js';
-export { CallerTimes } from './caller-times.js';
-export type { EngineStream, StreamMigrationParts, Moved, RunMover } from './migration.js';
+export { CallerTimes } from './caller-timeouts.js';
+export type { EngineStream, MigrationDependencies, MigratedStream, RunMover } from './migration.js';
 export { StreamMigration, StreamMigrations } from './migration.js';
-export type { FinderParts, SoughtRequest } from './finder.js';
+export type { FinderDependencies, RoutedRequest } from './finder.js';
 export { ReplicaFinder } from './finder.js';
-export type { RequestExecutionOptions, RequestExecutionParts } from './execution.js';
+export type { RequestExecutionOptions, ExecutionDependencies } from './execution.js';
 export { RequestExecution } from './execution.js';
 export { RequestMetrics } from './metrics.js';
 export { StreamRelay } from './relay.js';
--- a/packages/routing/src/core/requests/local-reply.ts
+++ b/packages/routing/src/core/requests/local-reply.ts
@@ -1,32 +1,32 @@
-/** The system's own answers to callers: each says truly whether the request may have run. */
+/** Replies that the daemon itself sends to callers. Each one states whether the request may have run. */
 import type { ServerResponse } from 'node:http';
 
 import { ERROR_CATALOGUE } from '@celeryyoke/core';
 
-/** Why the system answers in a replica's place. */
+/** Why the daemon replies in place of a replica. */
 export enum LocalReply {
   BadRequest = 'badRequest',
   NoRoute = 'noRoute',
   BodyTooLarge = 'bodyTooLarge',
   /** The key is missing, malformed or belongs to no account. */
   Unauthorized = 'unauthorized',
-  /** The client account has used up its quota; nothing ran. */
+  /** The client account has used up its quota; the request did not run. */
   OverQuota = 'overQuota',
-  /** Nothing ran; the caller may come back. */
+  /** The request did not run; the caller may retry. */
   NotRun = 'notRun',
-  /** It may have run. */
+  /** The request may have run. */
   OutcomeUnknown = 'outcomeUnknown',
-  /** Its time is over, and it may have run. */
+  /** The deadline has passed, and the request may have run. */
   TimedOut = 'timedOut',
 }
 
-/** Status and numbered result code of each answer; the codes are those of the error catalogue. */
-interface ReplyForm {
+/** HTTP status of a reply and its result code from the error catalogue. */
+interface ReplyStatus {
   readonly status: number;
   readonly code: number;
 }
 
-const FORMS: Readonly<Record<LocalReply, ReplyForm>> = {
+const REPLIES: Readonly<Record<LocalReply, ReplyStatus>> = {
   [LocalReply.BadRequest]: { status: 400, code: ERROR_CATALOGUE.RequestInvalid.code },
   [LocalReply.NoRoute]: { status: 404, code: ERROR_CATALOGUE.RouteUnknown.code },
   [LocalReply.BodyTooLarge]: { status: 413, code: ERROR_CATALOGUE.BodyTooLarge.code },
@@ -37,9 +37,9 @@
   [LocalReply.TimedOut]: { status: 504, code: ERROR_CATALOGUE.DeadlineDuringRun.code },
 };
 
-/** What an answer tells the caller to do. */
+/** Optional headers that tell the caller what to do. */
 export interface ReplyHints {
-  /** When to come back, in milliseconds. */
+  /** Time after which to retry, in milliseconds. */
   readonly retryAfterMs?: number;
   /** Authentication scheme to use. */
   readonly keyScheme?: string;
@@ -48,11 +48,8 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Sends one of the system's own answers; does nothing when an answer has begun.
- * @param res - The caller's answer.
- * @param kind - Why.
+ * Sends a local reply. Does nothing when the response has begun or its connection has closed.
  * @param reason - A short sentence for people.
- * @param hints - What the caller may do.
  */
 export function sendLocalReply(
   res: ServerResponse,
@@ -61,7 +58,7 @@
   { retryAfterMs, keyScheme }: ReplyHints = {},
 ): void {
   if (res.headersSent || res.destroyed) return;
-  const { status, code } = FORMS[kind];
+  const { status, code } = REPLIES[kind];
   const body = Buffer.from(`${JSON.stringify({ code, reason })}\n`);
   const headers: Record<string, string | number> = {
     'content-type': 'application/json',
--- a/packages/routing/src/core/requests/metrics.ts
+++ b/packages/routing/src/core/requests/metrics.ts
@@ -1,40 +1,39 @@
-/** Counters and histograms of the requests' ways. */
+/** Counters and histograms of requests and of the attempts that serve them. */
 import type { Counter, Histogram, Metrics } from '@celeryyoke/core';
 
 import type { RouteKind } from '../catalog/index.js';
 import type { AttemptOutcome } from './types.js';
 
-/** The requests' figures. */
+/**
+ * Registers and updates the metrics of requests. Counters with labels are registered when they are first
+ * used.
+ */
 export class RequestMetrics {
   private readonly requests = new Map<string, Counter>();
 
-  private readonly sends = new Map<string, Counter>();
+  private readonly attempts = new Map<string, Counter>();
 
-  private readonly times = new Map<string, Histogram>();
+  private readonly durations = new Map<string, Histogram>();
 
-  private readonly repeats = new Map<boolean, Counter>();
+  private readonly retryDecisions = new Map<boolean, Counter>();
 
-  private readonly repeatWait: Histogram;
+  private readonly retryDelay: Histogram;
 
   private readonly loadWait: Histogram;
 
-  private readonly promptWait: Histogram;
+  private readonly prefillDelay: Histogram;
 
   private readonly admissionWait: Histogram;
 
-  private readonly streamPause: Histogram;
+  private readonly streamGap: Histogram;
 
-  /**
-   * Registers the figures.
-   * @param metrics - Where they are kept.
-   */
   constructor(private readonly metrics: Metrics) {
-    this.repeatWait = metrics.histogram(
+    this.retryDelay = metrics.histogram(
       'router_repeat_wait_ms',
       'Time from the reservation of a repeat to its send.',
     );
     this.loadWait = metrics.histogram('router_adapter_wait_ms', 'Wait of a request for its adapter.');
-    this.promptWait = metrics.histogram(
+    this.prefillDelay = metrics.histogram(
       'router_prompt_wait_ms',
       'Time for which a prompt was held back so that the streams beside it keep their pauses.',
     );
@@ -42,19 +41,16 @@
       'router_admission_ms',
       'Time until the owner of an engine answered whether a prompt is admitted.',
     );
-    this.streamPause = metrics.histogram(
-      'router_stream_pause_ms',
-      'Longest pause between events of a stream.',
-    );
+    this.streamGap = metrics.histogram('router_stream_pause_ms', 'Longest pause between events of a stream.');
   }
 
   /**
-   * Notes the end of a request.
+   * Counts a request that has ended.
    * @param kind - Kind of its route.
-   * @param outcome - What the caller got: an answer of a replica, a stream to its end, or one of the system's own.
-   * @param ms - Time from its arrival, in milliseconds.
+   * @param outcome - What the caller received: the response of a replica, a whole stream, or a local reply.
+   * @param ms - Time since the arrival, in milliseconds.
    */
-  ended(kind: RouteKind, outcome: string, ms: number): void {
+  recordRequest(kind: RouteKind, outcome: string, ms: number): void {
     const key = `${kind} ${outcome}`;
     let counter = this.requests.get(key);
     if (counter === undefined) {
@@ -65,78 +61,62 @@
       this.requests.set(key, counter);
     }
     counter.add();
-    let time = this.times.get(kind);
-    if (time === undefined) {
-      time = this.metrics.histogram('router_request_ms', 'Time from arrival to the end.', { kind });
-      this.times.set(kind, time);
+    let duration = this.durations.get(kind);
+    if (duration === undefined) {
+      duration = this.metrics.histogram('router_request_ms', 'Time from arrival to the end.', { kind });
+      this.durations.set(kind, duration);
     }
-    time.record(ms);
+    duration.record(ms);
   }
 
-  /**
-   * Notes the end of a send.
-   * @param end - How it ended.
-   */
-  sent(end: AttemptOutcome): void {
-    let counter = this.sends.get(end);
+  /** Counts an attempt that has ended. */
+  recordAttempt(outcome: AttemptOutcome): void {
+    let counter = this.attempts.get(outcome);
     if (counter === undefined) {
-      counter = this.metrics.counter('router_sends_total', 'Sends to replicas by their end.', { end });
-      this.sends.set(end, counter);
+      counter = this.metrics.counter('router_sends_total', 'Sends to replicas by their end.', {
+        end: outcome,
+      });
+      this.attempts.set(outcome, counter);
     }
     counter.add();
   }
 
   /**
-   * Notes that a repeat was asked of the budget.
+   * Counts a retry that was requested from the budget.
    * @param isAllowed - Whether the budget allowed it.
    */
-  asked(isAllowed: boolean): void {
-    let counter = this.repeats.get(isAllowed);
+  recordRetryDecision(isAllowed: boolean): void {
+    let counter = this.retryDecisions.get(isAllowed);
     if (counter === undefined) {
       const labels = { outcome: isAllowed ? 'reserved' : 'refused' };
       counter = this.metrics.counter('router_repeats_total', 'Repeats asked of the budget.', labels);
-      this.repeats.set(isAllowed, counter);
+      this.retryDecisions.set(isAllowed, counter);
     }
     counter.add();
   }
 
-  /**
-   * Notes that a repeat is sent.
-   * @param ms - Time since it was reserved, in milliseconds.
-   */
-  repeated(ms: number): void {
-    this.repeatWait.record(ms);
+  /** Records the time from the reservation of a retry until it was sent, in milliseconds. */
+  recordRetryDelay(ms: number): void {
+    this.retryDelay.record(ms);
   }
 
-  /**
-   * Notes the answer of an engine's owner.
-   * @param ms - Time until it came, in milliseconds.
-   */
-  admitted(ms: number): void {
+  /** Records the time until the owner of an engine responded to a request for admission, in milliseconds. */
+  recordAdmissionWait(ms: number): void {
     this.admissionWait.record(ms);
   }
 
-  /**
-   * Notes that a prompt was held back.
-   * @param ms - Milliseconds.
-   */
-  heldBack(ms: number): void {
-    this.promptWait.record(ms);
+  /** Records the time for which a prompt was held back, in milliseconds. */
+  recordPrefillDelay(ms: number): void {
+    this.prefillDelay.record(ms);
   }
 
-  /**
-   * Notes a stream that came to its end.
-   * @param ms - Its longest pause, in milliseconds.
-   */
-  paused(ms: number): void {
-    this.streamPause.record(ms);
+  /** Records the longest gap between events of a stream that has ended, in milliseconds. */
+  recordStreamGap(ms: number): void {
+    this.streamGap.record(ms);
   }
 
-  /**
-   * Notes a wait for an adapter.
-   * @param ms - Milliseconds.
-   */
-  waited(ms: number): void {
+  /** Records the wait of a request for its adapter, in milliseconds. */
+  recordLoadWait(ms: number): void {
     this.loadWait.record(ms);
   }
 }
--- a/packages/routing/src/core/requests/migration.ts
+++ b/packages/routing/src/core/requests/migration.ts
@@ -1,9 +1,10 @@
 /**
- * Moves streams off engines that are taken away at short notice.
+ * Migrates streams off engines that are shut down at short notice.
  *
- * An engine that is gone cuts what it runs, and a stream that may not be repeated is lost with it. So shortly before,
- * each stream that still runs gets its adapter on another engine, has its memory copied there while it goes on, and
- * then stops, is copied for the rest and goes on there behind its last event.
+ * The shutdown of an engine cuts the streams that it runs, and a stream that must not be retried is lost.
+ * Shortly before the shutdown, each stream that still runs is therefore migrated: its adapter is loaded on
+ * another engine, the state of its run is copied there while the run continues, then the run is stopped, the
+ * rest of the state is copied, and the stream continues on the other engine after its last event.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
@@ -14,36 +15,42 @@
 import type { GenerationNeed } from './types.js';
 
 /**
- * Time before an engine is gone at which its streams are moved, in milliseconds: the adapters must be loaded on other
- * engines, which takes a quarter second each and four at a time. Streams that end before need not be moved.
+ * Time before the shutdown of an engine at which migrations begin, in milliseconds: the adapters must be
+ * loaded on other engines, a quarter of a second each and four at a time. Streams that end before that need
+ * no migration.
  */
-const LEAD_MS = 1100;
-/** Time before an engine is gone after which nothing is moved any more, in milliseconds: a copy takes some ten. */
-const RESERVE_MS = 120;
-/** Age of what an engine reports, in milliseconds, with a margin; the protocol says some hundred. */
+const MIGRATION_LEAD_MS = 1100;
+/**
+ * Time before the shutdown in which no migration begins, in milliseconds; a copy takes some tens of
+ * milliseconds.
+ */
+const COPY_RESERVE_MS = 120;
+/** Largest age of an engine's report, in milliseconds, with a margin; the protocol states some hundreds. */
 const REPORT_AGE_MS = 300;
-/** Looks at the report of a leaving engine, one for each such age; one that leaves in peace never says when. */
-const REPORT_LOOKS = 2;
-/** Pause between two looks for an engine, in milliseconds. */
-const LOOK_MS = 30;
-/** Longest wait in one engine's queue, in milliseconds, before the choice is made again. */
-const QUEUE_SLICE_MS = 200;
-
-/** Copies the memory of runs between engines; a dialect implements it. */
+/**
+ * Reads of a leaving engine's report, one per report age; an engine that leaves without a deadline never
+ * states a time.
+ */
+const MAX_REPORT_READS = 2;
+/** Pause between two choices while no other engine can take a stream, in milliseconds. */
+const POLL_INTERVAL_MS = 30;
+/** Longest wait in one engine's queue before the choice is made again, in milliseconds. */
+const QUEUE_TIMEOUT_MS = 200;
+
+/** Copies the state of runs between engines; the adapter to a platform implements it. */
 export interface RunMover {
   /**
-   * Copies a run's memory.
-   * @param from - The engine that runs it.
-   * @param request - The request's id.
-   * @param to - The engine that gets the copy.
-   * @param isLast - Whether the run stops first.
-   * @returns What a send must bear to go on from the copy, or undefined when there is none.
+   * Copies the state of a run.
+   * @param request - Id of the request.
+   * @param isFinal - Whether the run is stopped first, so that the copy is complete.
+   * @returns What the next attempt must carry to continue from the copy; undefined when there is no copy.
    */
-  move(from: ReplicaEntry, request: string, to: ReplicaEntry, isLast: boolean): Promise<string | undefined>;
+  move(from: ReplicaEntry, request: string, to: ReplicaEntry, isFinal: boolean): Promise<string | undefined>;
 }
 
 /** A stream that runs on an engine. */
 export interface EngineStream {
+  /** Id of the request. */
   readonly request: string;
   readonly service: string;
   readonly rank: number;
@@ -51,15 +58,15 @@
   readonly replica: ReplicaEntry;
 }
 
-/** Where a stream goes on. */
-export interface Moved {
+/** Where a stream continues. */
+export interface MigratedStream {
   readonly choice: Choice;
-  /** What the send must bear. */
+  /** What the attempt there must carry. */
   readonly continuation: string;
 }
 
-/** What migrations use of the daemon. */
-export interface StreamMigrationParts {
+/** Components of the daemon that migrations use. */
+export interface MigrationDependencies {
   readonly registry: ReplicaRegistry;
   readonly chooser: Chooser;
   readonly control: Pick<EngineControl, 'report'> & RunMover;
@@ -68,186 +75,193 @@
   readonly ensure: EnsureAdapter;
 }
 
-/** A stream that is moved when its engine is taken away. */
+/** Migrates one stream when its engine is about to be shut down. */
 export class StreamMigration {
-  private readonly ended = new AbortController();
+  private readonly streamEnd = new AbortController();
 
-  private moving: Promise<Moved | undefined> | undefined;
+  private migration: Promise<MigratedStream | undefined> | undefined;
 
-  private goneAt = Number.NEGATIVE_INFINITY;
+  private shutdownAt = Number.NEGATIVE_INFINITY;
 
-  /** Whether the run has been told to stop, so that its stream is cut by its own move. */
-  private isStopping = false;
+  /** Whether the run was told to stop, so that a cut of the stream is due to its own migration. */
+  private hasStoppedRun = false;
 
-  /**
-   * Makes one that has not begun.
-   * @param parts - The daemon's parts.
-   * @param stream - The stream.
-   */
   constructor(
-    private readonly parts: StreamMigrationParts,
+    private readonly parts: MigrationDependencies,
     readonly stream: EngineStream,
   ) {}
 
   /**
-   * Moves the stream if it still runs shortly before its engine is gone.
-   * @param goneAt - Monotonic time at which the engine is gone.
+   * Migrates the stream if it still runs shortly before the shutdown of its engine.
+   * @param shutdownAt - Monotonic time of the shutdown, in milliseconds.
    */
-  begin(goneAt: number): void {
-    this.goneAt = goneAt;
-    this.moving ??= this.run().catch((err: unknown) => {
-      this.parts.log.warn(`Stream ${this.stream.request} could not be moved: ${String(err)}.`);
+  start(shutdownAt: number): void {
+    this.shutdownAt = shutdownAt;
+    this.migration ??= this.migrate().catch((err: unknown) => {
+      this.parts.log.warn(`Failed to migrate stream ${this.stream.request}: ${String(err)}.`);
       return undefined;
     });
   }
 
-  /** The stream was cut. Where it goes on, when it was stopped for that; undefined when it was not. */
-  moved(): Promise<Moved | undefined> {
-    if (this.isStopping && this.moving !== undefined) return this.moving;
-    this.end();
+  /** Returns where a stream that was cut continues; undefined when it was not cut by its own migration. */
+  resultAfterCut(): Promise<MigratedStream | undefined> {
+    if (this.hasStoppedRun && this.migration !== undefined) return this.migration;
+    this.cancel();
     return Promise.resolve(undefined);
   }
 
-  /** The stream has ended. */
-  end(): void {
-    this.ended.abort();
+  /** Cancels the migration, as the stream has ended. */
+  cancel(): void {
+    this.streamEnd.abort();
   }
 
   private get hasEnded(): boolean {
-    return this.ended.signal.aborted;
+    return this.streamEnd.signal.aborted;
   }
 
-  /** Time in which the stream must have been moved, in milliseconds. */
-  private timeLeft(): number {
-    return this.goneAt - this.parts.timers.now() - RESERVE_MS;
+  /** Time left for the migration, in milliseconds. */
+  private remainingMs(): number {
+    return this.shutdownAt - this.parts.timers.now() - COPY_RESERVE_MS;
   }
 
-  private async run(): Promise<Moved | undefined> {
+  private async migrate(): Promise<MigratedStream | undefined> {
     const { control, timers } = this.parts;
     const { replica, request } = this.stream;
-    await timers.sleep(Math.max(0, this.timeLeft() - LEAD_MS), this.ended.signal).catch(() => undefined);
-    const choice = await this.prepare();
+    await timers
+      .sleep(Math.max(0, this.remainingMs() - MIGRATION_LEAD_MS), this.streamEnd.signal)
+      .catch(() => undefined);
+    const choice = await this.prepareTarget();
     if (choice === undefined || this.hasEnded) return undefined;
-    const copied = await control.move(replica, request, choice.replica, false);
-    if (copied === undefined || this.hasEnded) return undefined;
-    this.isStopping = true;
+    const firstCopy = await control.move(replica, request, choice.replica, false);
+    if (firstCopy === undefined || this.hasEnded) return undefined;
+    this.hasStoppedRun = true;
     const continuation = await control.move(replica, request, choice.replica, true);
-    this.tell(choice.replica, continuation);
+    this.logMigration(choice.replica, continuation);
     return continuation === undefined ? undefined : { choice, continuation };
   }
 
-  /** Finds an engine for the stream and has its adapter there. */
-  private async prepare(): Promise<Choice | undefined> {
+  /**
+   * Chooses another engine for the stream and loads its adapter there; undefined when there is no time left.
+   */
+  private async prepareTarget(): Promise<Choice | undefined> {
     const { chooser, timers } = this.parts;
     const { replica, service, generation, rank } = this.stream;
-    const unloadable = new Set<string>();
+    const loadFailed = new Set<string>();
     const tried = new Set([replica.id]);
-    while (!this.hasEnded && this.timeLeft() > 0) {
+    while (!this.hasEnded && this.remainingMs() > 0) {
       const { model, adapter } = generation;
-      const need = { service, model, adapter, tried, unloadable, rank, isLate: false, isUnderWay: true };
+      const need = {
+        service,
+        model,
+        adapter,
+        tried,
+        unloadable: loadFailed,
+        rank,
+        isLate: false,
+        isUnderWay: true,
+      };
       const choice = chooser.choose(need);
       if (choice === undefined || choice.replica.id === replica.id) {
-        unloadable.clear();
-        await timers.sleep(LOOK_MS);
+        loadFailed.clear();
+        await timers.sleep(POLL_INTERVAL_MS);
       } else if (!choice.needsLoad) return choice;
-      else if (await this.load(choice.replica, unloadable)) return choice;
+      else if (await this.load(choice.replica, loadFailed)) return choice;
     }
     return undefined;
   }
 
-  private async load(target: ReplicaEntry, unloadable: Set<string>): Promise<boolean> {
+  private async load(target: ReplicaEntry, loadFailed: Set<string>): Promise<boolean> {
     const { generation, rank } = this.stream;
-    const leftMs = Math.max(1, this.timeLeft());
+    const remainingMs = Math.max(1, this.remainingMs());
     const urgency: Urgency = {
       rank,
       waitedMs: 0,
-      dueInMs: leftMs,
-      lastCallMs: leftMs,
-      patienceMs: Math.min(leftMs, QUEUE_SLICE_MS),
-      timeoutMs: leftMs,
+      dueInMs: remainingMs,
+      lastCallMs: remainingMs,
+      patienceMs: Math.min(remainingMs, QUEUE_TIMEOUT_MS),
+      timeoutMs: remainingMs,
     };
     const ref = { model: generation.model, adapter: generation.adapter!, version: undefined };
     try {
       return await this.parts.ensure(target, ref, urgency);
     } catch (err) {
-      this.parts.log.debug(`${generation.adapter} does not come to ${target.id}: ${String(err)}.`);
-      unloadable.add(target.id);
+      this.parts.log.debug(`Failed to load ${generation.adapter} on ${target.id}: ${String(err)}.`);
+      loadFailed.add(target.id);
       return false;
     }
   }
 
-  private tell(target: ReplicaEntry, continuation: string | undefined): void {
+  private logMigration(target: ReplicaEntry, continuation: string | undefined): void {
     const { replica, request } = this.stream;
     const text = continuation === undefined ? 'could not be moved' : 'moves';
     this.parts.log.decide('stream.moved', `The stream ${text} from ${replica.id} to ${target.id}.`, {
       request,
       from: replica.id,
       to: target.id,
-      timeLeftMs: Math.round(this.timeLeft()),
+      timeLeftMs: Math.round(this.remainingMs()),
     });
   }
 }
 
-/** The streams of a daemon, by the engine that runs them. */
+/** Keeps the streams of a daemon by engine, and migrates those of engines that announce their shutdown. */
 export class StreamMigrations {
-  private readonly running = new Map<string, Set<StreamMigration>>();
+  /** Running streams by the id of their engine. */
+  private readonly byEngine = new Map<string, Set<StreamMigration>>();
 
-  /**
-   * Makes a list without streams.
-   * @param parts - The daemon's parts.
-   */
-  constructor(private readonly parts: StreamMigrationParts) {
+  constructor(private readonly parts: MigrationDependencies) {
     parts.registry.onReplica((_id, entry, before) => {
-      const hasLeft = entry?.state === ReplicaState.Leaving && before?.state !== ReplicaState.Leaving;
-      if (hasLeft && this.running.has(entry.id)) void this.askWhen(entry);
+      const isNowLeaving = entry?.state === ReplicaState.Leaving && before?.state !== ReplicaState.Leaving;
+      if (isNowLeaving && this.byEngine.has(entry.id)) void this.startOnShutdownNotice(entry);
     });
   }
 
-  /** Asks a leaving engine when it is gone, until it says so or shows that it leaves in peace. */
-  private async askWhen(engine: ReplicaEntry): Promise<void> {
+  /**
+   * Reads the report of a leaving engine until it states the time of its shutdown, and then starts the
+   * migrations.
+   */
+  private async startOnShutdownNotice(engine: ReplicaEntry): Promise<void> {
     const { control, timers, log } = this.parts;
-    for (let look = 0; look < REPORT_LOOKS && this.running.has(engine.id); look += 1) {
+    for (let read = 0; read < MAX_REPORT_READS && this.byEngine.has(engine.id); read += 1) {
       await timers.sleep(REPORT_AGE_MS);
       const remainingMs = await control.report(engine).then(
         (report) => report.remainingMs,
         (err: unknown) => {
-          log.debug(`Leaving engine ${engine.id} does not say when: ${String(err)}.`);
+          log.debug(`Failed to read the report of leaving engine ${engine.id}: ${String(err)}.`);
           return undefined;
         },
       );
       if (remainingMs === undefined) continue;
-      const goneAt = timers.now() + remainingMs - REPORT_AGE_MS;
-      for (const migration of this.running.get(engine.id) ?? []) migration.begin(goneAt);
+      const shutdownAt = timers.now() + remainingMs - REPORT_AGE_MS;
+      for (const migration of this.byEngine.get(engine.id) ?? []) migration.start(shutdownAt);
       return;
     }
   }
 
   /**
-   * Notes that a stream begins.
-   * @param stream - The stream.
-   * @returns Its migration; told when the stream has ended.
+   * Registers a stream that begins.
+   * @returns Its migration, to be passed to {@link complete} when the attempt has ended.
    */
-  enter(stream: EngineStream): StreamMigration {
+  register(stream: EngineStream): StreamMigration {
     const migration = new StreamMigration(this.parts, stream);
     const { id } = stream.replica;
-    const streams = this.running.get(id) ?? new Set();
-    this.running.set(id, streams.add(migration));
+    const streams = this.byEngine.get(id) ?? new Set();
+    this.byEngine.set(id, streams.add(migration));
     return migration;
   }
 
   /**
-   * Notes that a send of a stream has ended.
-   * @param migration - What {@link enter} returned.
-   * @param wasCut - Whether it was cut, as by its own move.
-   * @returns Where it goes on; undefined when it was not moved.
+   * Unregisters a stream whose attempt has ended.
+   * @param migration - What {@link register} returned.
+   * @param wasCut - Whether the stream broke, as it does in its own migration.
+   * @returns Where the stream continues; undefined when it was not migrated.
    */
-  async leave(migration: StreamMigration, wasCut: boolean): Promise<Moved | undefined> {
+  async complete(migration: StreamMigration, wasCut: boolean): Promise<MigratedStream | undefined> {
     const { id } = migration.stream.replica;
-    const streams = this.running.get(id);
+    const streams = this.byEngine.get(id);
     streams?.delete(migration);
-    if (streams?.size === 0) this.running.delete(id);
-    if (wasCut) return migration.moved();
-    migration.end();
+    if (streams?.size === 0) this.byEngine.delete(id);
+    if (wasCut) return migration.resultAfterCut();
+    migration.cancel();
     return undefined;
   }
 }
--- a/packages/routing/src/core/requests/prefill-wait.ts
+++ b/packages/routing/src/core/requests/prefill-wait.ts
@@ -1,4 +1,4 @@
-/** Has the prompt of one request admitted to its engine, and holds it back as long as the owner asks. */
+/** Requests admission of a prompt from the owner of its engine, and delays the prompt as the owner asks. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { InFlightTable } from '../choice/index.js';
@@ -6,24 +6,31 @@
 import type { PromptAdmission } from '../pacing/index.js';
 import { Verdict } from '../pacing/index.js';
 import type { ReplicaEntry } from '../view/index.js';
-import type { SoughtRequest } from './finder.js';
+import type { RoutedRequest } from './finder.js';
 import type { RequestMetrics } from './metrics.js';
 
-/** Part of the time that is left of the objective for which a prompt may be held back; the rest covers what comes after. */
-const PATIENCE_SHARE = 0.9;
-/** Part of its time for which the prompt of a late request may be held back: a later answer is as good. */
-const LATE_PATIENCE_SHARE = 0.1;
-const LATE_PATIENCE_MS = 1000;
+/**
+ * Share of the time left until the objective for which a prompt may be delayed; the rest covers the steps
+ * that follow.
+ */
+const MAX_DELAY_SHARE = 0.9;
+/**
+ * Share of its remaining time for which a late request may be delayed: how late the response is makes no
+ * difference.
+ */
+const LATE_DELAY_SHARE = 0.1;
+/** Longest delay of a late request, in milliseconds. */
+const MAX_LATE_DELAY_MS = 1000;
 
-/** Result of a wait. */
+/** Result of a request for admission. */
 export enum PrefillAdmission {
-  /** The prompt goes without having waited. */
+  /** The prompt may be sent; it was not delayed. */
   AtOnce = 'at-once',
-  /** It goes, some time after its engine was chosen. */
+  /** The prompt may be sent; it was delayed, so the choice of its engine is some time old. */
   Delayed = 'delayed',
-  /** The owner of the engine says that the adapter is not resident. */
+  /** Refused: the adapter is not resident on the engine. */
   NotResident = 'not-resident',
-  /** The owner says that the engine has no place. */
+  /** Refused: the engine has no free slot for the request. */
   Full = 'full',
 }
 
@@ -32,71 +39,64 @@
   [Verdict.Full]: PrefillAdmission.Full,
 } as const;
 
-/** What a wait uses of the daemon. */
-export interface PrefillWaitParts {
+/** Components of the daemon that a wait uses. */
+export interface PrefillWaitDependencies {
   readonly admission: PromptAdmission;
   readonly inFlight: InFlightTable;
   readonly timers: TimerService;
   readonly metrics: RequestMetrics;
 }
 
-/** The waits of one request for the admission of its prompt. */
+/** Waits for the admission of one request's prompt, at each engine that the request is sent to. */
 export class PrefillWait {
-  /** Time for which the prompt was held back, in milliseconds. */
-  heldMs = 0;
+  /** Time for which the prompt was delayed at all engines, in milliseconds. */
+  totalDelayMs = 0;
 
-  /**
-   * Makes one that has not waited.
-   * @param parts - The daemon's parts.
-   * @param sought - The request.
-   */
   constructor(
-    private readonly parts: PrefillWaitParts,
-    private readonly sought: SoughtRequest,
+    private readonly parts: PrefillWaitDependencies,
+    private readonly request: RoutedRequest,
   ) {}
 
   /**
-   * Waits until the prompt may go.
-   * @param replica - The engine.
-   * @param key - `model/adapter`, where the prompt needs an adapter.
-   * @param isLate - Whether its answer will be late whatever is done.
-   * @param signal - Ends the wait.
-   * @returns Whether and how the prompt may go.
+   * Waits until the prompt may be sent.
+   * @param key - `model/adapter`; undefined where the prompt needs no adapter.
+   * @param isLate - Whether the response will miss its objective whatever is done.
+   * @param signal - Ends the delay early.
    */
-  async run(
+  async waitForAdmission(
     replica: ReplicaEntry,
     key: string | undefined,
     isLate: boolean,
     signal: AbortSignal,
   ): Promise<PrefillAdmission> {
     const { admission, inFlight, timers, metrics } = this.parts;
-    const { head, route, rank } = this.sought;
+    const { head, route, rank } = this.request;
     const tokens = head.generation?.promptTokens ?? 0;
-    const patienceMs = this.patienceMs(tokens, isLate);
-    if (tokens === 0 || route.maxPauseMs === undefined || patienceMs <= 0) return PrefillAdmission.AtOnce;
-    const askedAt = timers.now();
-    const prompt = { tokens, maxPauseMs: route.maxPauseMs, patienceMs };
-    const places = placesFor(replica.slots, { rank, isLate, isUnderWay: false });
-    const { verdict, delayMs, counts } = await admission.admit(replica.id, key, places, prompt);
-    metrics.admitted(timers.now() - askedAt);
-    // The choice that follows a refusal goes by what the owner has just said.
+    const maxDelayMs = this.maxDelayMs(tokens, isLate);
+    if (tokens === 0 || route.maxPauseMs === undefined || maxDelayMs <= 0) return PrefillAdmission.AtOnce;
+    const requestedAt = timers.now();
+    const prompt = { tokens, maxPauseMs: route.maxPauseMs, patienceMs: maxDelayMs };
+    const maxInFlight = placesFor(replica.slots, { rank, isLate, isUnderWay: false });
+    const { verdict, delayMs, counts } = await admission.admit(replica.id, key, maxInFlight, prompt);
+    metrics.recordAdmissionWait(timers.now() - requestedAt);
+    // After a refusal the next choice is made with the counts that the owner has just reported.
     if (counts !== undefined) inFlight.takeTotal({ replica: replica.id, ...counts });
     if (verdict !== Verdict.Admitted) return REFUSALS[verdict];
     if (delayMs <= 0) return PrefillAdmission.AtOnce;
-    this.heldMs += Math.round(delayMs);
-    metrics.heldBack(delayMs);
+    this.totalDelayMs += Math.round(delayMs);
+    metrics.recordPrefillDelay(delayMs);
     await timers.sleep(delayMs, signal).catch(() => undefined);
     return PrefillAdmission.Delayed;
   }
 
-  /** How long the prompt may be held back: its first event stays on time. */
-  private patienceMs(tokens: number, isLate: boolean): number {
-    const { route, arrivedAt, deadlineAt, service, isUnderWay } = this.sought;
+  /** Longest delay of the prompt, in milliseconds, so that its first event still meets the objective. */
+  private maxDelayMs(tokens: number, isLate: boolean): number {
+    const { route, arrivedAt, deadlineAt, service, hasResponseBegun } = this.request;
     const now = this.parts.timers.now();
-    // A stream that has begun must not pause.
-    if (isUnderWay()) return 0;
-    if (isLate) return Math.min(LATE_PATIENCE_MS, (deadlineAt - now) * LATE_PATIENCE_SHARE);
-    const readingMs = this.parts.admission.readingMs(service, tokens);
-    return (route.objectiveMs - (now - arrivedAt)) * PATIENCE_SHARE - readingMs;
+    // A stream that has begun must not be delayed.
+    if (hasResponseBegun()) return 0;
+    if (isLate) return Math.min(MAX_LATE_DELAY_MS, (deadlineAt - now) * LATE_DELAY_SHARE);
+    const prefillMs = this.parts.admission.readingMs(service, tokens);
+    return (route.objectiveMs - (now - arrivedAt)) * MAX_DELAY_SHARE - prefillMs;
   }
 }
--- a/packages/routing/src/core/requests/relay.ts
+++ b/packages/routing/src/core/requests/relay.ts
@@ -1,111 +1,123 @@
 /**
- * Passes one stream of events on to the caller, whole events only, over all replicas that feed it.
+ * Relays one stream of server-sent events to the caller, in whole events only, across all replicas that
+ * produce it.
  *
- * What stands behind the last whole event is held back: when the stream breaks there, the caller has a clean end,
- * and another replica can go on behind the last number.
+ * Bytes after the last complete event are held back. If the stream breaks there, the caller has received no
+ * partial event, and another replica can continue after the last event id.
  */
 import type { ServerResponse } from 'node:http';
 
 import { EventScanner, NO_ID } from '@celeryyoke/core';
 
 import type { HeaderMap } from '../channels/index.js';
-import { beginAnswer } from './headers.js';
+import { writeResponseHead } from './headers.js';
 
 const EMPTY = Buffer.alloc(0);
 
-/** The caller's side of a stream. */
+/** Writes a stream to the caller and tracks the last event that the caller has received. */
 export class StreamRelay {
-  /** Number of the last event that the caller has; undefined before the first. */
-  lastId: number | undefined;
+  /** Id of the last event that the caller has received; undefined before the first. */
+  lastEventId: number | undefined;
 
-  /** Longest time between two pieces of it, in milliseconds; the first piece begins the count. */
-  longestPauseMs = 0;
+  /**
+   * Longest gap between two chunks of the stream, in milliseconds; the wait for the first chunk does not
+   * count.
+   */
+  longestGapMs = 0;
 
-  /** Whether the head was passed on. */
+  /** Whether the response head was sent to the caller. */
   hasBegun = false;
 
-  private rest: Buffer = EMPTY;
+  /** Bytes after the last complete event. */
+  private partialEvent: Buffer = EMPTY;
 
   private scanner = new EventScanner();
 
+  /** Whether a later replica continues the stream. */
   private isResumed = false;
 
-  /** Monotonic time of the last piece. */
-  private heardAt: number | undefined;
+  /** Monotonic time of the last chunk. */
+  private lastChunkAt: number | undefined;
 
   /**
-   * Makes a relay that has passed nothing on.
-   * @param res - The caller's answer.
-   * @param firstId - Number of the last event that the caller says it has.
-   * @param now - Monotonic milliseconds.
+   * @param resumeFromId - Id of the last event that the caller says it has received.
+   * @param now - Returns the monotonic time, in milliseconds.
    */
   constructor(
     private readonly res: ServerResponse,
-    firstId: number | undefined,
+    resumeFromId: number | undefined,
     private readonly now: () => number,
   ) {
-    this.lastId = firstId;
+    this.lastEventId = resumeFromId;
   }
 
   /**
-   * Passes the head on; that of a later replica is left out.
-   * @param status - Status.
-   * @param headers - The replica's headers.
+   * Begins the stream of a replica. The head of the first replica is sent to the caller; later ones are
+   * dropped.
    */
   begin(status: number, headers: HeaderMap): void {
-    this.rest = EMPTY;
+    this.partialEvent = EMPTY;
     this.scanner = new EventScanner();
     this.isResumed = this.hasBegun;
     if (this.hasBegun) return;
     this.hasBegun = true;
-    beginAnswer(this.res, status, headers);
+    writeResponseHead(this.res, status, headers);
     this.res.flushHeaders();
   }
 
   /**
-   * Takes bytes of the stream in and passes whole events on.
-   * @param chunk - The bytes.
-   * @returns Whether the stream fits what the caller has; if not, it must be broken off.
+   * Writes the events that a chunk completes, without those that the caller has received already.
+   * @returns Whether the stream continues what the caller has received; if events are missing, it must be
+   * aborted.
    */
-  take(chunk: Buffer): boolean {
-    this.notePause();
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    let passFrom = 0;
+  forward(chunk: Buffer): boolean {
+    this.recordGap();
+    const bytes = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk]);
+    let writeFrom = 0;
     let start = 0;
     while (this.scanner.next(bytes, start)) {
       const { id, end } = this.scanner;
-      if (this.isResumed && id !== NO_ID && this.lastId !== undefined && id <= this.lastId) {
-        // The caller has this one already.
-        this.pass(bytes, passFrom, start);
-        passFrom = end;
-      } else if (this.isResumed && id !== NO_ID && this.lastId !== undefined && id > this.lastId + 1)
+      if (this.isResumed && id !== NO_ID && this.lastEventId !== undefined && id <= this.lastEventId) {
+        // The caller has received this event already.
+        this.write(bytes, writeFrom, start);
+        writeFrom = end;
+      } else if (
+        this.isResumed &&
+        id !== NO_ID &&
+        this.lastEventId !== undefined &&
+        id > this.lastEventId + 1
+      )
         return false;
-      else if (id !== NO_ID) this.lastId = id;
+      else if (id !== NO_ID) this.lastEventId = id;
       start = end;
     }
-    this.pass(bytes, passFrom, start);
-    this.rest = start === bytes.length ? EMPTY : bytes.subarray(start);
+    this.write(bytes, writeFrom, start);
+    this.partialEvent = start === bytes.length ? EMPTY : bytes.subarray(start);
     return true;
   }
 
-  /** Ends the stream as complete; a tail that is no whole event is part of the replica's bytes. */
+  /**
+   * Ends the response as complete, with any bytes that follow the last whole event: the replica sent them
+   * too.
+   */
   end(): void {
-    if (this.rest.length > 0) this.res.write(this.rest);
+    if (this.partialEvent.length > 0) this.res.write(this.partialEvent);
     this.res.end();
   }
 
-  /** Breaks the stream off, so that it does not look complete. */
-  breakOff(): void {
+  /** Closes the connection, so that the stream does not look complete. */
+  abort(): void {
     this.res.destroy();
   }
 
-  private notePause(): void {
+  private recordGap(): void {
     const now = this.now();
-    if (this.heardAt !== undefined) this.longestPauseMs = Math.max(this.longestPauseMs, now - this.heardAt);
-    this.heardAt = now;
+    if (this.lastChunkAt !== undefined)
+      this.longestGapMs = Math.max(this.longestGapMs, now - this.lastChunkAt);
+    this.lastChunkAt = now;
   }
 
-  private pass(bytes: Buffer, from: number, to: number): void {
+  private write(bytes: Buffer, from: number, to: number): void {
     if (to > from) this.res.write(from === 0 && to === bytes.length ? bytes : bytes.subarray(from, to));
   }
 }
--- a/packages/routing/src/core/requests/server.ts
+++ b/packages/routing/src/core/requests/server.ts
@@ -1,4 +1,7 @@
-/** The callers' listener: one task for each request, and a shutdown that interrupts none. */
+/**
+ * HTTP server for callers: accepts and authenticates requests, has them served, and shuts down without
+ * interrupting any.
+ */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import type { Socket } from 'node:net';
@@ -12,86 +15,83 @@
 import type { ReplicaRegistry } from '../view/index.js';
 import { LocalReply, sendLocalReply } from './local-reply.js';
 import { BodyProblem, readCallerBody } from './body.js';
-import type { RequestExecutionOptions, RequestExecutionParts } from './execution.js';
+import type { RequestExecutionOptions, ExecutionDependencies } from './execution.js';
 import { RequestExecution } from './execution.js';
 import type { RequestHead } from './types.js';
-import { waitMsOf } from './types.js';
+import { requestTimeoutMs } from './types.js';
 
-/** When a caller may come back to a daemon that knows no configuration yet, in milliseconds. */
+/** Time after which a caller may retry at a daemon without a configuration, in milliseconds. */
 const NO_CONFIG_RETRY_MS = 300;
-/** Age of the view beyond which a key that it lacks may have been added since, in milliseconds. */
+/** Age of the view above which a key that it lacks may have been added since, in milliseconds. */
 const MAX_KEY_VIEW_AGE_MS = 1500;
-/** Bounds before the first configuration; the configuration's own replace them. */
-const FIRST_HEADER_TIMEOUT_MS = 3000;
-const FIRST_IDLE_TIMEOUT_MS = 15_000;
-/** Largest head in bytes; Node.js takes it only when the listener is made. */
+/** Timeouts until the first configuration, which replaces them, in milliseconds. */
+const DEFAULT_HEADER_TIMEOUT_MS = 3000;
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/** Largest request head, in bytes; Node.js accepts it only when the server is created. */
 const MAX_HEAD_BYTES = 16_384;
-/** How often slow heads are looked for, in milliseconds. */
-const HEAD_CHECK_MS = 500;
-/** Time that a late head has to be read from its socket, in milliseconds. */
+/** Interval between checks for request heads that are overdue, in milliseconds. */
+const CONNECTION_CHECK_INTERVAL_MS = 500;
+/** Time in which an overdue head may still be read from its socket, in milliseconds. */
 const LATE_HEAD_GRACE_MS = 100;
-/** Time in which a body must have come, in milliseconds. */
+/** Timeout of a whole request including its body, in milliseconds. */
 const BODY_TIMEOUT_MS = 30_000;
-/** Connections that wait to be accepted. */
+/** Length of the queue of connections that wait to be accepted. */
 const BACKLOG = 1024;
+/** Number of steps into which the sum of the weights of a route is divided. */
 const WEIGHT_SCALE = 1_000_000;
-/** Error of a connection whose request is not whole in time. */
-const LATE_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
+/** Error code of Node.js for a request that is not complete in time. */
+const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
 
-/** Why a key is not accepted. */
+/** Why a key was not accepted. */
 type KeyProblem = Exclude<AuthOutcome, AuthOutcome.Accepted>;
 
-/** What a client without a valid key is told. */
+/** Reasons for clients without a valid key. */
 const KEY_REASONS: Readonly<Record<KeyProblem, string>> = {
   [AuthOutcome.MissingKey]: 'The request needs a key.',
   [AuthOutcome.MalformedKey]: 'The key is malformed.',
   [AuthOutcome.UnknownKey]: 'The key belongs to no account.',
 };
 
-/** Options of the callers' server. */
+/** Options of the server. */
 export interface RequestServerOptions {
   readonly host: string;
   readonly port: number;
   readonly registry: ReplicaRegistry;
-  readonly parts: RequestExecutionParts;
+  readonly parts: ExecutionDependencies;
   readonly timers: TimerService;
   readonly log: DecisionLog;
 }
 
-/** The callers' server. */
+/** Listens for callers and serves each of their requests. */
 export class RequestServer {
-  /** Answers that are still to be given. */
-  private readonly answers = new Set<ServerResponse>();
+  /** Responses that have not ended. */
+  private readonly openResponses = new Set<ServerResponse>();
 
   private readonly server: Server;
 
-  /** Connections on which a head is late, until it has come or is refused. */
-  private readonly lateHeads = new Map<Socket, TimerHandle>();
+  /** Connections with an overdue request head, until it has been read or the connection is rejected. */
+  private readonly overdueHeads = new Map<Socket, TimerHandle>();
 
-  /** Connections that were told that what comes on them is not run. */
-  private readonly refused = new WeakSet<Socket>();
+  /** Connections that were rejected; requests that still arrive on them are not run. */
+  private readonly rejectedSockets = new WeakSet<Socket>();
 
   private isDraining = false;
 
-  /** Whether no further request is taken. */
+  /** Whether new requests are refused. */
   private isClosing = false;
 
-  /**
-   * Makes a server that does not listen.
-   * @param options - Where, and the parts that serve.
-   */
   constructor(private readonly options: RequestServerOptions) {
     this.server = createServer(
       {
         maxHeaderSize: MAX_HEAD_BYTES,
-        headersTimeout: FIRST_HEADER_TIMEOUT_MS,
+        headersTimeout: DEFAULT_HEADER_TIMEOUT_MS,
         requestTimeout: BODY_TIMEOUT_MS,
-        keepAliveTimeout: FIRST_IDLE_TIMEOUT_MS,
-        connectionsCheckingInterval: HEAD_CHECK_MS,
+        keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
         noDelay: true,
       },
       (req, res) => {
-        void this.serve(req, res);
+        void this.handle(req, res);
       },
     );
     this.server.on('clientError', (err: NodeJS.ErrnoException, socket: Socket) =>
@@ -103,83 +103,86 @@
     });
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get running(): number {
-    return this.answers.size;
+    return this.openResponses.size;
   }
 
-  /** Starts to listen. */
   listen(): Promise<void> {
     const { host, port } = this.options;
     return startListening(this.server, { host, port, backlog: BACKLOG });
   }
 
-  /** From now on each answer is the last on its connection; requests that still arrive are served. */
+  /** Makes each response the last one on its connection. Requests that still arrive are served. */
   drain(): void {
     this.isDraining = true;
-    for (const res of this.answers) res.shouldKeepAlive = false;
+    for (const res of this.openResponses) res.shouldKeepAlive = false;
   }
 
-  /** Closes connections that wait between two requests, and the listener. */
+  /** Closes the listener and idle connections, and refuses new requests. */
   close(): void {
     this.isClosing = true;
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Closes the listener and every connection; requests in progress break off. */
+  /** Closes the listener and all connections, which aborts the requests in progress. */
   cut(): void {
     this.close();
     this.server.closeAllConnections();
   }
 
-  /** Closes connections that wait between two requests. */
+  /** Closes connections without a request in progress. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
   /**
-   * Refuses what is no request. A head that is late may lie in the socket, where a process that stood still has not read it
-   * yet: it is refused only if it has not come after some more turns of the event loop.
+   * Rejects a connection whose bytes are no valid request. An overdue head may already be in the socket's
+   * buffer if this process was stalled and has not read it yet, so it is rejected only if it has not been
+   * read a short time later.
    */
   private handleClientError(err: NodeJS.ErrnoException, socket: Socket): void {
-    const refuseNow = (): void => {
-      this.lateHeads.delete(socket);
-      this.refused.add(socket);
-      refuse(err, socket);
+    const reject = (): void => {
+      this.overdueHeads.delete(socket);
+      this.rejectedSockets.add(socket);
+      rejectConnection(err, socket);
     };
-    const isAnswering = [...this.answers].some((res) => res.socket === socket);
-    if (err.code !== LATE_CODE || isAnswering) refuseNow();
-    else this.lateHeads.set(socket, this.options.timers.after(LATE_HEAD_GRACE_MS, refuseNow));
+    const isResponding = [...this.openResponses].some((res) => res.socket === socket);
+    if (err.code !== REQUEST_TIMEOUT_CODE || isResponding) reject();
+    else this.overdueHeads.set(socket, this.options.timers.after(LATE_HEAD_GRACE_MS, reject));
   }
 
-  private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    this.lateHeads.get(req.socket)?.cancel();
-    this.lateHeads.delete(req.socket);
-    if (this.refused.has(req.socket)) {
-      // The rest of a request that came after its refusal.
+  private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    this.overdueHeads.get(req.socket)?.cancel();
+    this.overdueHeads.delete(req.socket);
+    if (this.rejectedSockets.has(req.socket)) {
+      // The rest of a request that arrived after its connection was rejected.
       req.resume();
       return;
     }
-    this.answers.add(res);
-    res.on('error', (err) => this.options.log.debug(`An answer could not be written: ${err.message}.`));
+    this.openResponses.add(res);
+    res.on('error', (err) => this.options.log.debug(`Failed to write a response: ${err.message}.`));
     if (this.isDraining) res.shouldKeepAlive = false;
-    // A stream that began before the shutdown has promised its caller a connection that is kept: it ends with it.
+    // The head of a stream that began before the shutdown announced a kept-alive connection: close it when
+    // the stream ends.
     res.once('finish', () => {
       if (this.isClosing) req.socket.destroySoon();
     });
     try {
-      await this.answer(req, res);
+      await this.route(req, res);
     } catch (err) {
-      this.options.log.error(`A request failed within: ${err instanceof Error ? err.stack : String(err)}`);
+      this.options.log.error(
+        `Unexpected error in a request: ${err instanceof Error ? err.stack : String(err)}`,
+      );
       if (res.headersSent) res.destroy();
       else sendLocalReply(res, LocalReply.OutcomeUnknown, 'Internal error.');
     } finally {
-      this.answers.delete(res);
+      this.openResponses.delete(res);
     }
   }
 
-  private async answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async route(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const { registry, parts, timers, log } = this.options;
     const arrivedAt = timers.now();
     const head = parts.dialect.readHead(req);
@@ -213,12 +216,12 @@
     const { outcome, account } = authenticate(table, route, head.credentials);
     if (outcome !== AuthOutcome.Accepted) {
       req.resume();
-      this.refuseKey(head, table, outcome, res);
+      this.rejectKey(head, table, outcome, res);
       return;
     }
-    const waitMs = waitMsOf(head, route);
-    parts.callerTimes.note(route.name, waitMs);
-    const isLate = parts.callerTimes.isLate(route, waitMs);
+    const timeoutMs = requestTimeoutMs(head, route);
+    parts.callerTimes.record(route.name, timeoutMs);
+    const isLate = parts.callerTimes.isLate(route, timeoutMs);
     if (account !== undefined && !(await this.charge(account, head, isLate, res))) {
       req.resume();
       return;
@@ -233,7 +236,7 @@
 
   /**
    * Reads the body and serves the request.
-   * @returns Whether a replica may have run it.
+   * @returns Whether a replica may have run the request.
    */
   private async execute(
     req: IncomingMessage,
@@ -241,7 +244,7 @@
     accepted: Omit<RequestExecutionOptions, 'body'>,
   ): Promise<boolean> {
     const body = await readCallerBody(req, maxBodyBytes);
-    if (body === BodyProblem.Broken || this.refused.has(req.socket)) return false;
+    if (body === BodyProblem.Broken || this.rejectedSockets.has(req.socket)) return false;
     if (body === BodyProblem.TooLarge) {
       sendLocalReply(accepted.res, LocalReply.BodyTooLarge, 'The body is too large.');
       return false;
@@ -252,8 +255,8 @@
   }
 
   /**
-   * Charges a request to its account; one that is over the quota is refused at once.
-   * @returns Whether the request may go on.
+   * Charges a request to the quota of its account, and refuses it when the quota is used up.
+   * @returns Whether the request was admitted.
    */
   private async charge(
     account: ClientAccount,
@@ -283,10 +286,10 @@
   }
 
   /**
-   * Refuses a request without a valid key. Where the configuration may be out of date, a key that it does not know may be
-   * a new one: then nothing is said of the key.
+   * Refuses a request without a valid key. While the configuration may be out of date, an unknown key may be
+   * a new one, so the caller is then asked to retry instead.
    */
-  private refuseKey(head: RequestHead, table: RouteTable, problem: KeyProblem, res: ServerResponse): void {
+  private rejectKey(head: RequestHead, table: RouteTable, problem: KeyProblem, res: ServerResponse): void {
     const { parts, log } = this.options;
     parts.accountMetrics.unauthorized(problem);
     const viewAgeMs = parts.viewAgeMs();
@@ -314,29 +317,30 @@
   return query < 0 ? target : target.slice(0, query);
 }
 
-/** Divides the requests of a route between its services by weight. */
+/** Picks one of a route's services by weight; requests with the same id go to the same service. */
 function pickService({ targets }: Route, head: RequestHead): string {
   if (targets.length === 1) return targets[0]!.service;
   const sum = targets.reduce((total, { weight }) => total + weight, 0);
-  let place = ((hash32(head.id) % WEIGHT_SCALE) / WEIGHT_SCALE) * sum;
+  let remaining = ((hash32(head.id) % WEIGHT_SCALE) / WEIGHT_SCALE) * sum;
   for (const { service, weight } of targets) {
-    place -= weight;
-    if (place < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return targets.at(-1)!.service;
 }
 
-const CLIENT_ERRORS: Readonly<Record<string, string>> = {
+/** Status of the responses to invalid requests, by error code of Node.js. */
+const STATUS_LINES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
-  [LATE_CODE]: '408 Request Timeout',
+  [REQUEST_TIMEOUT_CODE]: '408 Request Timeout',
 };
 
-/** Answers bytes that are no request. */
-function refuse(err: NodeJS.ErrnoException, socket: Socket): void {
+/** Responds to bytes that are no valid request, and closes the connection. */
+function rejectConnection(err: NodeJS.ErrnoException, socket: Socket): void {
   if (err.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = CLIENT_ERRORS[err.code ?? ''] ?? '400 Bad Request';
+  const status = STATUS_LINES[err.code ?? ''] ?? '400 Bad Request';
   socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
 }
--- a/packages/routing/src/core/requests/types.ts
+++ b/packages/routing/src/core/requests/types.ts
@@ -1,68 +1,66 @@
-/** A request on its way from the caller to a replica and back. */
+/** Types of a request as it passes from the caller to a replica and back. */
 import type { IncomingMessage } from 'node:http';
 
 import type { Credentials } from '../accounts/index.js';
 import type { Route } from '../catalog/index.js';
 import type { HeaderMap } from '../channels/index.js';
 
-/** A generation, as its headers describe it. */
+/** A generation as the request headers describe it. */
 export interface GenerationNeed {
   /** Base model. */
   readonly model: string;
-  /** Adapter of it; undefined for the base model itself. */
+  /** Adapter of the base model; undefined for the base model itself. */
   readonly adapter: string | undefined;
   /** Tokens of the prompt; 0 when unknown. */
   readonly promptTokens: number;
-  /** Most tokens of the answer; 0 when unknown. */
+  /** Largest number of tokens to generate; 0 when unknown. */
   readonly maxTokens: number;
 }
 
 /** The head of a caller's request. */
 export interface RequestHead {
-  /** Names this attempt of the caller. */
+  /** Identifies this attempt of the caller. */
   readonly id: string;
   readonly method: string;
-  /** Host without its port. */
+  /** Host without the port. */
   readonly host: string;
-  /** Path with its query, as it was sent. */
+  /** Path and query, as the caller sent them. */
   readonly target: string;
-  /** Time that the caller waits, in milliseconds; undefined when it does not say. */
+  /** Timeout of the caller, in milliseconds; undefined when it states none. */
   readonly waitMs: number | undefined;
   readonly generation: GenerationNeed | undefined;
-  /** Number of the last event that the caller has, when it resumes a stream. */
+  /** Id of the last event that the caller has received, when it resumes a stream. */
   readonly lastEventId: number | undefined;
   readonly credentials: Credentials;
-  /** Tokens of the prompt and most tokens of the answer together; undefined when they are not stated. */
+  /** Sum of the prompt's tokens and the largest number to generate; undefined when they are not stated. */
   readonly statedTokens: number | undefined;
-  /** Headers to pass on, names and values by turns. */
+  /** Headers that are forwarded: alternating names and values. */
   readonly passed: readonly string[];
-  /** Headers with the client's key, passed on only where the configuration declares no accounts. */
+  /** Headers with the client's key, forwarded only where the configuration declares no accounts. */
   readonly keyHeaders: readonly string[];
 }
 
-/**
- * Tells how long a request may take.
- * @param head - Its head.
- * @param route - Its route.
- * @returns Milliseconds from its arrival: what its caller waits, and no more than the operator wants.
- */
-export function waitMsOf(head: Pick<RequestHead, 'waitMs'>, { timeoutMs }: Pick<Route, 'timeoutMs'>): number {
+/** Returns the timeout of a request from its arrival on: that of the caller, limited to that of the route. */
+export function requestTimeoutMs(
+  head: Pick<RequestHead, 'waitMs'>,
+  { timeoutMs }: Pick<Route, 'timeoutMs'>,
+): number {
   return Math.min(head.waitMs ?? timeoutMs, timeoutMs);
 }
 
-/** A head that can't be served. */
+/** Why a request was rejected for its head. */
 export interface HeadProblem {
   readonly status: number;
   readonly reason: string;
 }
 
-/** What the system itself tells a replica. */
+/** Values that the daemon adds to the headers of a request to a replica. */
 export interface UpstreamNotes {
-  /** Time that is left, in milliseconds. */
+  /** Time left until the deadline, in milliseconds. */
   readonly waitMs: number;
-  /** Name of the replica that is meant. */
+  /** Name of the replica that must serve the request. */
   readonly instance: string;
-  /** Version of the adapter that is meant. */
+  /** Version of the adapter that must serve the request. */
   readonly version: number | undefined;
   /** Urgency; 0 is the most urgent. */
   readonly rank: number | undefined;
@@ -70,84 +68,79 @@
   readonly hasAccounts: boolean;
   /** Name of the client account; undefined for an anonymous request. */
   readonly account: string | undefined;
-  /** Number of the last event that the caller has. */
+  /** Id of the last event that the caller has received. */
   readonly lastEventId: number | undefined;
-  /** Names the copy of the run's memory from which the replica goes on. */
+  /** Identifies the copied run state from which the replica continues. */
   readonly continuation: string | undefined;
 }
 
-/** What a replica's answer says beside its status. */
+/** What the head of a replica's response says in addition to its status. */
 export interface AnswerNotes {
-  /** The request that it answers, by the replica's word. */
+  /** Id of the request that the replica responds to. */
   readonly requestId: string | undefined;
-  /** Whether it carries the replica's signature. */
+  /** Whether the response carries the replica's signature. */
   readonly isSigned: boolean;
-  /** Whether the replica proves that it did not run the request. */
+  /** Whether the response proves that the replica did not run the request. */
   readonly isNotRun: boolean;
-  /** Whether it is another replica, or lacks the adapter or the version. */
+  /** Whether another replica responded, or one that lacks the adapter or its version. */
   readonly isMisdirected: boolean;
-  /** Requests a second that the replica takes from all daemons together; undefined when it states no limit. */
+  /**
+   * Requests per second that the replica accepts from all daemons together; undefined when it states no
+   * limit.
+   */
   readonly limitPerSecond: number | undefined;
 }
 
-/** The header words of callers and replicas; the adapter to a platform implements it. */
+/**
+ * Reads and writes the headers of callers and replicas on one platform; the adapter to the platform
+ * implements it.
+ */
 export interface RequestDialect {
   /** Authentication scheme of the clients' keys. */
   readonly keyScheme: string;
-  /**
-   * Reads the head of a caller's request.
-   * @param req - The request.
-   * @returns The head, or why it can't be served.
-   */
+  /** Reads the head of a caller's request. */
   readHead(req: IncomingMessage): RequestHead | HeadProblem;
   /**
-   * Makes the headers of a request to a replica.
-   * @param head - The caller's head.
-   * @param notes - What the system adds.
-   * @returns Names and values by turns.
-   */
-  upstreamHeaders(head: RequestHead, notes: UpstreamNotes): string[];
-  /**
-   * Reads what an answer says.
-   * @param status - Its status.
-   * @param headers - Its headers.
-   * @returns The notes.
+   * Builds the headers of a request to a replica.
+   * @returns Alternating names and values.
    */
+  upstreamHeaders(head: RequestHead, metadata: UpstreamNotes): string[];
+  /** Reads the head of a replica's response. */
   readAnswer(status: number, headers: HeaderMap): AnswerNotes;
 }
 
-/** How one send to a replica ended. */
+/** How one attempt ended. */
 export enum AttemptOutcome {
-  /** The replica's whole answer is held, nothing of it was passed on. */
-  Answered = 'answered',
-  /** The answer was passed on to its end. */
+  /** The response is buffered whole; nothing was sent to the caller. */
+  Responded = 'answered',
+  /** The response was relayed to the caller until its end. */
   Relayed = 'relayed',
-  /** It is proved that the request did not run. */
+  /** The replica certainly did not run the request. */
   NotRun = 'notRun',
-  /** The replica is another one, or lacks what was asked for; not run. */
+  /** Not run: another replica responded, or it lacks the adapter or its version. */
   Misdirected = 'misdirected',
-  /** It may have run, and there is no answer. */
+  /** The request may have run, and there is no usable response. */
   Unknown = 'unknown',
-  /** A stream broke after a part of it was passed on. */
+  /** A stream ended early after relaying had begun. */
   BrokenStream = 'brokenStream',
-  /** This daemon gave it up: the caller left or its time is over. */
+  /** This daemon cancelled the attempt: the caller left or the deadline passed. */
   Cancelled = 'cancelled',
 }
 
-/** An answer that is held whole. */
-export interface HeldAnswer {
+/** A response that is buffered whole. */
+export interface BufferedResponse {
   readonly status: number;
   readonly headers: HeaderMap;
   readonly body: Buffer;
 }
 
-/** The end of one send. */
+/** Result of one attempt. */
 export interface AttemptResult {
-  readonly end: AttemptOutcome;
-  readonly answer: HeldAnswer | undefined;
+  readonly outcome: AttemptOutcome;
+  readonly response: BufferedResponse | undefined;
   readonly reason: string;
-  /** Whether a byte was handed to a connection. */
+  /** Whether a byte was written to a connection. */
   readonly wasSent: boolean;
-  /** Time to the first byte of the answer in milliseconds. */
+  /** Time to the first byte of the response, in milliseconds. */
   readonly firstByteMs: number | undefined;
 }
--- a/packages/routing/test/finder.test.ts
+++ b/packages/routing/test/finder.test.ts
@@ -1,10 +1,11 @@
 /**
- * Rare adapters asked for all at once, with few places for them: who waits, and who is turned away and when.
+ * Requests for adapters that are not resident while the adapter slots of all engines are in use: which of
+ * them wait, and when the others are refused.
  *
- * The route is one of 600 ms to the first event and 12 s in all; every engine's adapter places are in use for good.
+ * The route has an objective of 600 ms to the first event and a timeout of 12 s.
  */
 import { createManualTimers, createMetrics } from '@celeryyoke/core';
-import type { Choice, FinderParts, Route, SoughtRequest } from '@celeryyoke/routing';
+import type { Choice, FinderDependencies, Route, RoutedRequest } from '@celeryyoke/routing';
 import { CallerTimes, ReplicaFinder, RequestMetrics, RouteKind } from '@celeryyoke/routing';
 import test from 'ava';
 
@@ -28,13 +29,13 @@
   isAnonymous: false,
 };
 
-/** A finder before engines whose places come free after a time. */
-function setUp(freeAfterMs: number, waitMs = TIMEOUT_MS) {
+/** Starts a search among engines whose adapter slots become free after some time. */
+function startFinder(freeAfterMs: number, waitMs = TIMEOUT_MS) {
   const timers = createManualTimers();
   const callerTimes = new CallerTimes();
-  callerTimes.note(ROUTE.name, TIMEOUT_MS);
-  const begun = timers.now();
-  const isFree = (): boolean => timers.now() - begun >= freeAfterMs;
+  callerTimes.record(ROUTE.name, TIMEOUT_MS);
+  const startedAt = timers.now();
+  const isFree = (): boolean => timers.now() - startedAt >= freeAfterMs;
   const choose = (): Choice => ({
     replica: engineEntry('e'),
     heldVersion: isFree() ? 1 : undefined,
@@ -51,40 +52,40 @@
       await timers.sleep(patienceMs);
       return isFree();
     },
-  } as unknown as FinderParts;
+  } as unknown as FinderDependencies;
   const generation = { model: MODEL, adapter: 'a1', promptTokens: 800, maxTokens: 300 };
-  const sought = {
+  const request = {
     head: { id: 'r', generation },
     route: ROUTE,
     service: 'engines',
-    arrivedAt: begun,
-    deadlineAt: begun + waitMs,
-    isOver: () => timers.now() - begun >= waitMs,
-    isUnderWay: () => false,
-  } as unknown as SoughtRequest;
+    arrivedAt: startedAt,
+    deadlineAt: startedAt + waitMs,
+    hasEnded: () => timers.now() - startedAt >= waitMs,
+    hasResponseBegun: () => false,
+  } as unknown as RoutedRequest;
   const found: { at: number | undefined; choice: Choice | undefined } = { at: undefined, choice: undefined };
-  const finding = new ReplicaFinder(parts, sought).find().then((choice) => {
-    Object.assign(found, { at: timers.now() - begun, choice });
+  const finding = new ReplicaFinder(parts, request).find().then((choice) => {
+    Object.assign(found, { at: timers.now() - startedAt, choice });
   });
   return { timers, found, finding };
 }
 
-test('a request waits for its adapter beyond its objective, as a late answer is better than none', async (t) => {
-  const { timers, found } = setUp(1500);
+test('a request waits for its adapter beyond its objective: late is better than never', async (t) => {
+  const { timers, found } = startFinder(1500);
   await timers.advance(2500);
   t.truthy(found.choice);
   t.true(found.at! >= 1500 && found.at! < 2100, `${found.at} ms`);
 });
 
-test('a request whose adapter does not come is turned away at a quarter of its time, not held to its end', async (t) => {
-  const { timers, found } = setUp(Number.POSITIVE_INFINITY);
+test('a request whose adapter is not loaded is refused after a quarter of its time', async (t) => {
+  const { timers, found } = startFinder(Number.POSITIVE_INFINITY);
   await timers.advance(TIMEOUT_MS);
   t.is(found.choice, undefined);
   t.true(found.at! > OBJECTIVE_MS && found.at! < TIMEOUT_MS / 3, `${found.at} ms`);
 });
 
-test('one that comes back late is turned away sooner', async (t) => {
-  const { timers, found } = setUp(Number.POSITIVE_INFINITY, TIMEOUT_MS / 2);
+test('a late retry is refused sooner', async (t) => {
+  const { timers, found } = startFinder(Number.POSITIVE_INFINITY, TIMEOUT_MS / 2);
   await timers.advance(TIMEOUT_MS);
   t.is(found.choice, undefined);
   t.true(found.at! < TIMEOUT_MS / 6, `${found.at} ms`);
--- a/packages/routing/test/relay.test.ts
+++ b/packages/routing/test/relay.test.ts
@@ -1,11 +1,11 @@
-/** A stream reaches the caller in whole events, without a gap and without a repeat. */
+/** A stream reaches the caller in whole events, without missing or duplicate ones. */
 import type { ServerResponse } from 'node:http';
 
 import { StreamRelay } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
-class FakeAnswer {
+class FakeServerResponse {
   text = '';
 
   ended = false;
@@ -37,7 +37,7 @@
 const FRAMED = { 'transfer-encoding': 'chunked' };
 
 function setUp(firstId?: number) {
-  const res = new FakeAnswer();
+  const res = new FakeServerResponse();
   const clock = { now: 0 };
   const relay = new StreamRelay(res as unknown as ServerResponse, firstId, () => clock.now);
   return { res, relay, clock };
@@ -47,7 +47,7 @@
 const events = (from: number, to: number): string =>
   Array.from({ length: to - from + 1 }, (_, index) => event(from + index)).join('');
 
-test('however the bytes are cut, whole events come out, in order', (t) => {
+test('events are relayed whole and in order, however the bytes are split into chunks', (t) => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 30 }), { maxLength: 60 }), (cuts) => {
       const { res, relay } = setUp();
@@ -55,47 +55,47 @@
       relay.begin(200, FRAMED);
       let at = 0;
       for (const cut of cuts) {
-        relay.take(Buffer.from(text.slice(at, at + cut)));
+        relay.forward(Buffer.from(text.slice(at, at + cut)));
         at += cut;
         t.true(res.text === '' || res.text.endsWith('\n\n'));
       }
-      relay.take(Buffer.from(text.slice(at)));
+      relay.forward(Buffer.from(text.slice(at)));
       t.is(res.text, text);
-      t.is(relay.lastId, 20);
+      t.is(relay.lastEventId, 20);
     }),
     { seed: 3, numRuns: 200 },
   );
 });
 
-test('a replica that stops within an event leaves no part of it', (t) => {
+test('a stream that breaks within an event leaves no part of that event', (t) => {
   const { res, relay } = setUp();
   relay.begin(200, FRAMED);
-  relay.take(Buffer.from(`${events(1, 3)}id: 4\ndata: t`));
-  relay.breakOff();
+  relay.forward(Buffer.from(`${events(1, 3)}id: 4\ndata: t`));
+  relay.abort();
   t.is(res.text, events(1, 3));
   t.true(res.broken);
-  t.is(relay.lastId, 3);
+  t.is(relay.lastEventId, 3);
 });
 
-test('another replica goes on behind the last event; what it repeats is left out', (t) => {
+test('another replica continues after the last event; events that it sends again are dropped', (t) => {
   const { res, relay } = setUp();
   relay.begin(200, FRAMED);
-  relay.take(Buffer.from(`${events(1, 3)}id: 4\nda`));
+  relay.forward(Buffer.from(`${events(1, 3)}id: 4\nda`));
   relay.begin(200, FRAMED);
-  t.true(relay.take(Buffer.from(events(3, 6))));
+  t.true(relay.forward(Buffer.from(events(3, 6))));
   t.is(res.text, events(1, 6));
 });
 
-test('a replica that would leave a gap is refused', (t) => {
+test('a stream that skips events is refused', (t) => {
   const { res, relay } = setUp();
   relay.begin(200, FRAMED);
-  relay.take(Buffer.from(events(1, 3)));
+  relay.forward(Buffer.from(events(1, 3)));
   relay.begin(200, FRAMED);
-  t.false(relay.take(Buffer.from(events(5, 6))));
+  t.false(relay.forward(Buffer.from(events(5, 6))));
   t.is(res.text, events(1, 3));
 });
 
-test('the longest pause counts from the first piece on, over all replicas', (t) => {
+test('the longest gap is measured from the first chunk on, across all replicas', (t) => {
   const { relay, clock } = setUp();
   relay.begin(200, FRAMED);
   for (const [at, id] of [
@@ -104,10 +104,10 @@
     [950, 3],
   ] as const) {
     clock.now = at;
-    relay.take(Buffer.from(event(id)));
+    relay.forward(Buffer.from(event(id)));
   }
   relay.begin(200, FRAMED);
   clock.now = 1400;
-  relay.take(Buffer.from(event(4)));
-  t.is(relay.longestPauseMs, 450);
+  relay.forward(Buffer.from(event(4)));
+  t.is(relay.longestGapMs, 450);
 });
--- a/packages/routing/test/repeats/execution-site.ts
+++ b/packages/routing/test/repeats/execution-site.ts
@@ -7,7 +7,7 @@
 import type {
   AnswerSink,
   Choice,
-  RequestExecutionParts,
+  ExecutionDependencies,
   Route,
   RunningExchange,
   UpstreamCall,
@@ -74,12 +74,12 @@
 
   private lastId = 0;
 
-  private readonly parts: RequestExecutionParts;
+  private readonly parts: ExecutionDependencies;
 
   constructor(bounds: RepeatBounds) {
     const { timers } = this;
     const callerTimes = new CallerTimes();
-    callerTimes.note(ROUTE.name, TIMEOUT_MS);
+    callerTimes.record(ROUTE.name, TIMEOUT_MS);
     const budget = new RepeatBudget({ bounds, share: () => 1, timers });
     const nothing = (): void => undefined;
     this.parts = {
@@ -107,7 +107,7 @@
         counts: () => ({ running: 0, waiting: 0 }),
       },
       health: { sent: nothing, heard: nothing, ended: nothing, note: nothing, unreachable: nothing },
-      migrations: { enter: () => undefined, leave: () => Promise.resolve(undefined) },
+      migrations: { register: () => undefined, complete: () => Promise.resolve(undefined) },
       limits: { admit: () => Promise.resolve(true), noteAnswer: nothing },
       admission: { noteFirstEvent: nothing, readingMs: () => 0 },
       fleetShare: () => 1,
@@ -118,7 +118,7 @@
       callerTimes,
       timers,
       log,
-    } as unknown as RequestExecutionParts;
+    } as unknown as ExecutionDependencies;
   }
 
   /** Holds up all that is sent, or lets it arrive. */
