--- a/packages/routing/test/fakes.ts
+++ b/packages/routing/test/fakes.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for the tests of this package. */
+/** Fakes and sample data for the tests of this package. */
 import type { TimerService } from '@celeryyoke/core';
 import { createSilentLog } from '@celeryyoke/core';
 import type {
@@ -15,7 +15,7 @@
 export const MODEL = 'base';
 export const log = createSilentLog();
 
-/** Makes an entry of an engine. */
+/** Makes the registry entry of an engine. */
 export function engineEntry(id: string, models: readonly HeldModel[] = []): ReplicaEntry {
   return {
     id,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Makes a configuration with one route for each kind. */
+/** Makes a configuration with a route of each kind, and a resumable streaming route. */
 export function sampleDocument(version: number, timeoutMs = 2000): RoutingDocument {
   const route = (
     name: string,
@@ -80,13 +80,13 @@
   };
 }
 
-/** What an engine answers, whatever the connection. */
+/** Handlers of a fake engine, shared by all connections to it. */
 export interface EngineAnswers {
   readonly order: (order: EngineOrder) => Promise<OrderOutcome>;
   readonly report: () => Promise<EngineReport>;
 }
 
-/** Makes a connection to an engine; it ends when an order gets no answer. */
+/** Makes a connection to an engine. It closes when an order gets no response. */
 export function makeConnection({ order, report }: EngineAnswers, onClosed: () => void): EngineConnection {
   let isOpen = true;
   const close = (): void => {
@@ -97,8 +97,8 @@
     get isOpen() {
       return isOpen;
     },
-    order: async (given) => {
-      const outcome = isOpen ? await order(given) : OrderOutcome.Unreachable;
+    order: async (request) => {
+      const outcome = isOpen ? await order(request) : OrderOutcome.Unreachable;
       if (outcome === OrderOutcome.Unknown || outcome === OrderOutcome.Unreachable) close();
       return outcome;
     },
@@ -112,37 +112,39 @@
   running: number;
 }
 
-/** An engine that holds itself to its protocol and notes when it is ordered to hold too much. */
+/** Fake engine that follows the protocol, and counts the loads ordered beyond its capacity. */
 export class FakeEngine implements EngineControl {
   readonly slots = new Map<string, FakeSlot>();
 
   readonly orders: EngineOrder[] = [];
 
-  /** Orders that asked for more than there is room for. */
+  /** Loads that were ordered while all adapter slots were in use. */
   overloads = 0;
 
-  /** Adapters told to go while requests ran on them: the engine answers no other order until they have ended. */
+  /**
+   * Adapters whose unload was ordered while requests ran on them. Until those end, other orders are refused
+   * as busy.
+   */
   blocked = new Set<string>();
 
-  /** Answers the next orders with these, in place of what the engine would say. */
+  /** Outcomes of the next orders, in place of the engine's own. */
   script: OrderOutcome[] = [];
 
+  /** Highest fencing token of the orders so far. */
   seenToken = 0;
 
-  /** Start that reports tell. */
+  /** Process start that reports state. */
   bornAt: number | undefined;
 
-  /** Orders accepted that changed something. */
+  /** Number of accepted orders that changed something. */
   sequence = 0;
 
-  /** What reports say while it is set, as of some time ago. */
+  /** Outdated report that is returned in place of the current one while it is set. */
   oldReport: EngineReport | undefined;
 
   /**
-   * Makes an engine.
-   * @param timers - Time.
-   * @param capacity - Adapter slots.
-   * @param loadMs - Time of a load.
+   * @param capacity - Number of adapter slots.
+   * @param loadMs - Duration of a load, in milliseconds.
    */
   constructor(
     private readonly timers: TimerService,
@@ -166,7 +168,7 @@
 
   report = async (): Promise<EngineReport> => this.oldReport ?? this.current();
 
-  /** What the engine holds now; loads in progress are told as held. */
+  /** Current report; adapters that are being loaded are reported as resident. */
   current = (): EngineReport => ({
     bornAt: this.bornAt,
     sequence: this.sequence,
--- a/packages/routing/test/raw.ts
+++ b/packages/routing/test/raw.ts
@@ -1,31 +1,30 @@
-/** Raw sockets for the tests: a replica that answers byte by byte as told, and a caller that sends what it likes. */
+/** Raw sockets for tests: a replica that responds with any bytes, and a caller that sends any bytes. */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 
 const HEAD_END = '\r\n\r\n';
 
-/** A request as it came. */
+/** A request as it was received. */
 export interface RawRequest {
   readonly head: string;
   readonly body: string;
   readonly socket: Socket;
 }
 
-/** A replica that does as told. */
+/** A replica whose responses a test writes. */
 export interface RawReplica {
   readonly port: number;
-  /** Whole requests that came. */
+  /** Complete requests that were received. */
   readonly seen: RawRequest[];
-  /** Connections that were opened. */
+  /** Number of connections that were opened. */
   readonly connections: () => number;
   close(): Promise<void>;
 }
 
 /**
- * Reads a header of a request.
- * @param head - The head.
+ * Returns the value of a header; undefined when it is missing.
+ * @param head - Head of a request or response.
  * @param name - Name in lower case.
- * @returns Its value, or undefined.
  */
 export function headerIn(head: string, name: string): string | undefined {
   const line = head.split('\r\n').find((text) => text.toLowerCase().startsWith(`${name}:`));
@@ -33,9 +32,8 @@
 }
 
 /**
- * Takes the first whole request off the bytes of a connection.
- * @param text - The bytes.
- * @returns The request and what follows it; undefined while it is not whole.
+ * Splits the first request off the bytes received on a connection.
+ * @returns The request and the bytes that follow it; undefined while it is incomplete.
  */
 export function takeRequest(text: string): { head: string; body: string; rest: string } | undefined {
   const end = text.indexOf(HEAD_END);
@@ -49,10 +47,9 @@
 
 /**
  * Starts a replica.
- * @param answer - Called with each request; writes to its socket.
- * @returns The replica.
+ * @param respond - Called with each request and its number, from 1 on; writes the response to its socket.
  */
-export async function startReplica(answer: (req: RawRequest, number: number) => void): Promise<RawReplica> {
+export async function startReplica(respond: (req: RawRequest, number: number) => void): Promise<RawReplica> {
   const seen: RawRequest[] = [];
   const sockets = new Set<Socket>();
   let connections = 0;
@@ -68,7 +65,7 @@
         text = next.rest;
         const req = { head: next.head, body: next.body, socket };
         seen.push(req);
-        answer(req, seen.length);
+        respond(req, seen.length);
       }
     });
   });
@@ -88,27 +85,27 @@
   };
 }
 
-/** A request after which the other side closes the connection. */
-const ASKS_FOR_THE_END = /^connection: close\r$/im;
-/** Time after which a connection that stays open is left, in milliseconds. */
-const OPEN_LIMIT_MS = 700;
+/** Head of a request after whose response the other side closes the connection. */
+const CONNECTION_CLOSE = /^connection: close\r$/im;
+/** Time after which a connection that stays open is closed, in milliseconds. */
+const KEEP_ALIVE_LIMIT_MS = 700;
 /**
- * Time after which an end that was asked for counts as a fault, in milliseconds. On a machine with more busy processes than
- * processors a test's own process stood still for 0.7 to 2.2 s, and an answer that came in time was not seen.
+ * Time after which a requested close that has not come counts as a fault, in milliseconds. On a machine with
+ * more busy processes than processors, the process of a test stalled for 0.7 to 2.2 s and missed a response
+ * that came in time.
  */
-const FAULT_LIMIT_MS = 6000;
+const CLOSE_LIMIT_MS = 6000;
 
 /**
- * Sends bytes and gathers all that comes back until the connection ends or time is over.
- * @param port - Where to.
- * @param parts - What to send, one after the other.
- * @param waitMs - Longest wait for the end; long when the last request asks for it, as then only a fault makes it wait.
- * @returns What came, and whether the other side closed.
+ * Sends bytes on a new connection and collects the response until it closes or the timeout expires.
+ * @param parts - What to send, in this order.
+ * @param waitMs - Timeout, long when the last request asks for a close: then it expires only on a fault.
+ * @returns The bytes received, and whether the other side closed the connection.
  */
 export function converse(
   port: number,
   parts: readonly string[],
-  waitMs = ASKS_FOR_THE_END.test(parts.at(-1) ?? '') ? FAULT_LIMIT_MS : OPEN_LIMIT_MS,
+  waitMs = CONNECTION_CLOSE.test(parts.at(-1) ?? '') ? CLOSE_LIMIT_MS : KEEP_ALIVE_LIMIT_MS,
 ): Promise<{ text: string; isClosed: boolean }> {
   return new Promise((resolve) => {
     let text = '';
--- a/packages/routing/test/repeats/execution-site.ts
+++ b/packages/routing/test/repeats/execution-site.ts
@@ -1,4 +1,4 @@
-/** Requests on their whole way through one daemon on the virtual clock, before engines that a test shuts off. */
+/** Runs requests through one daemon on a virtual clock, with engines and a network that can fail. */
 import type { ServerResponse } from 'node:http';
 import { Writable } from 'node:stream';
 
@@ -25,9 +25,9 @@
 import type { RepeatBounds } from './rule.js';
 import { RepeatRecord } from './rule.js';
 
-/** Engine that refuses all that it gets. */
+/** Engine that each request is sent to first; it can be made to refuse them. */
 const REFUSING = 'refusing';
-/** Engine at which requests are tried again. */
+/** Engine that retries are sent to. */
 const OTHER = 'other';
 const TIMEOUT_MS = 20_000;
 const NOT_RUN = 503;
@@ -48,8 +48,8 @@
   isAnonymous: false,
 };
 
-/** A send that has not arrived, as the way to its engine is held up. */
-interface HeldSend {
+/** An attempt that has not arrived, as the network to its engine is held up. */
+interface HeldAttempt {
   readonly arrive: () => void;
 }
 
@@ -59,7 +59,7 @@
 
   readonly record = new RepeatRecord();
 
-  /** Whether the first engine refuses what it gets. */
+  /** Whether the first engine refuses all requests. */
   isRefusing = false;
 
   /** Whether nothing listens at the first engine. */
@@ -68,9 +68,9 @@
   /** Whether the other engine can load the adapters of requests. */
   canLoad = true;
 
-  private isWayHeld = false;
+  private isPathHeld = false;
 
-  private held: HeldSend[] = [];
+  private heldAttempts: HeldAttempt[] = [];
 
   private lastId = 0;
 
@@ -81,7 +81,7 @@
     const callerTimes = new CallerTimes();
     callerTimes.record(ROUTE.name, TIMEOUT_MS);
     const budget = new RepeatBudget({ bounds, share: () => 1, timers });
-    const nothing = (): void => undefined;
+    const noop = (): void => undefined;
     this.parts = {
       chooser: {
         choose: ({ tried }: { tried: ReadonlySet<string> }) => this.choose(tried),
@@ -103,17 +103,17 @@
         }),
       },
       inFlight: {
-        begin: () => ({ answered: nothing, ended: nothing }),
+        begin: () => ({ answered: noop, ended: noop }),
         counts: () => ({ running: 0, waiting: 0 }),
       },
-      health: { sent: nothing, heard: nothing, ended: nothing, note: nothing, unreachable: nothing },
+      health: { sent: noop, heard: noop, ended: noop, note: noop, unreachable: noop },
       migrations: { register: () => undefined, complete: () => Promise.resolve(undefined) },
-      limits: { admit: () => Promise.resolve(true), noteAnswer: nothing },
-      admission: { noteFirstEvent: nothing, readingMs: () => 0 },
+      limits: { admit: () => Promise.resolve(true), noteAnswer: noop },
+      admission: { noteFirstEvent: noop, readingMs: () => 0 },
       fleetShare: () => 1,
       budget: () => budget,
       metrics: new RequestMetrics(createMetrics()),
-      notHeld: nothing,
+      notHeld: noop,
       viewAgeMs: () => 0,
       callerTimes,
       timers,
@@ -121,17 +121,17 @@
     } as unknown as ExecutionDependencies;
   }
 
-  /** Holds up all that is sent, or lets it arrive. */
-  holdWay(isHeld: boolean): void {
-    this.isWayHeld = isHeld;
+  /** Holds up the attempts that are sent to the other engine, or lets those held up arrive. */
+  holdPath(isHeld: boolean): void {
+    this.isPathHeld = isHeld;
     if (isHeld) return;
-    const { held } = this;
-    this.held = [];
-    for (const { arrive } of held) arrive();
+    const { heldAttempts } = this;
+    this.heldAttempts = [];
+    for (const { arrive } of heldAttempts) arrive();
   }
 
-  /** Has callers send requests evenly for some time. */
-  async play(perSecond: number, ms: number): Promise<void> {
+  /** Sends requests at an even rate for some time. */
+  async run(perSecond: number, ms: number): Promise<void> {
     const intervalMs = 1000 / perSecond;
     for (let passed = 0; passed < ms; passed += intervalMs) {
       this.request();
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Requests that have arrived at a replica. */
+  /** Number of requests that have arrived at a replica. */
   get arrived(): number {
     return this.record.arrived();
   }
@@ -164,7 +164,7 @@
       service: 'engines',
       hasAccounts: false,
       account: undefined,
-      res: new CallerEnd() as unknown as ServerResponse,
+      res: new FakeServerResponse() as unknown as ServerResponse,
       arrivedAt: this.timers.now(),
     });
     void execution.run();
@@ -195,7 +195,7 @@
         return;
       }
       sink.onSent();
-      if (this.isWayHeld && engine === OTHER) this.held.push({ arrive });
+      if (this.isPathHeld && engine === OTHER) this.heldAttempts.push({ arrive });
       else arrive();
     });
     return {
@@ -207,8 +207,8 @@
   }
 }
 
-/** The caller's end of a connection, which takes whatever it gets. */
-class CallerEnd extends Writable {
+/** Response to a caller that reads everything. */
+class FakeServerResponse extends Writable {
   headersSent = false;
 
   constructor() {
--- a/packages/routing/test/repeats/fleet.ts
+++ b/packages/routing/test/repeats/fleet.ts
@@ -1,4 +1,4 @@
-/** Daemons that ask for repeats of one service all the time, on the virtual clock. */
+/** Fleet on a virtual clock whose daemons request retries of one service all the time. */
 import { RepeatBudget } from '@celeryyoke/routing';
 
 import type { TestDaemon } from '../fleet/daemons.js';
@@ -10,13 +10,13 @@
 const STEP_MS = 20;
 export const SEEDS = 3;
 
-/** A fleet whose daemons repeat as often as they may. */
-export class RepeatingFleet {
+/** Runs a fleet whose daemons retry as often as their budgets allow. */
+export class RetryingFleet {
   readonly fleet: TestFleet;
 
   readonly record = new RepeatRecord();
 
-  /** Whether daemons that start do so together with the whole fleet. */
+  /** Whether a daemon that starts does so for the first time, rather than after a restart. */
   isFirstStart = true;
 
   private readonly budgets = new Map<string, RepeatBudget>();
@@ -30,40 +30,40 @@
     this.fleet = new TestFleet(zones, SEEDS, (daemon) => this.addBudget(daemon));
   }
 
-  /** Starts daemons from 0 on, evenly spread over some time, while those that run repeat. */
-  async startOneAfterAnother(count: number, forMs: number): Promise<void> {
+  /** Starts daemons from 0 on, spread evenly over some time, while the running ones retry. */
+  async startStaggered(count: number, forMs: number): Promise<void> {
     for (let index = 0; index < count; index += 1) {
       await this.fleet.start(index);
-      await this.play(forMs / count);
+      await this.run(forMs / count);
     }
   }
 
-  /** Lets time go by while every daemon repeats as often as it may. */
-  async play(ms: number): Promise<void> {
+  /** Advances the clock while every daemon retries as often as its budget allows. */
+  async run(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      for (const { address } of this.fleet.running()) this.repeat(address);
+      for (const { address } of this.fleet.running()) this.retryWhileAllowed(address);
       await this.fleet.timers.advance(Math.min(STEP_MS, ms - passed));
     }
   }
 
-  /** Most repeats in a window. */
-  worst(): number {
+  /** Largest number of retries in a window. */
+  mostRetries(): number {
     return this.record.windows(this.bounds)[0]?.repeats ?? 0;
   }
 
-  /** Repeats since a moment, in milliseconds. */
-  since(moment: number): number {
-    return this.record.repeats().filter((at) => at >= moment).length;
+  /** Number of retries since a time, in milliseconds. */
+  retriesSince(from: number): number {
+    return this.record.repeats().filter((at) => at >= from).length;
   }
 
-  private repeat(address: string): void {
+  private retryWhileAllowed(address: string): void {
     if (this.fleet.network.isFrozen(address)) return;
     const now = this.fleet.timers.now();
     const budget = this.budgets.get(address)!;
     for (let permit = budget.reserve(); permit !== undefined; permit = budget.reserve()) {
       permit.settle();
       this.lastId += 1;
-      // The first arrival of each request is long past.
+      // The first attempt of each request arrived long ago, so that this one counts as a retry.
       this.record.arrive(`r${this.lastId}`, Number.MIN_SAFE_INTEGER);
       this.record.arrive(`r${this.lastId}`, now);
     }
--- a/packages/routing/test/repeats/rule.ts
+++ b/packages/routing/test/repeats/rule.ts
@@ -1,33 +1,33 @@
-/** The users' rule on repeats, checked from what callers sent and what arrived at the replicas of one service. */
+/** Checks the users' limit on retries against the requests and the arrivals at replicas of one service. */
 
-/** Smallest step between two moments, in milliseconds. */
-const INSTANT_MS = 0.001;
+/** Smallest step between two times, in milliseconds. */
+const MIN_STEP_MS = 0.001;
 
-/** What is allowed in any window. */
+/** Retries that are allowed in any window. */
 export interface RepeatBounds {
-  /** Repeats for each request. */
+  /** Retries for each request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats besides, over all daemons. */
+  /** Additional retries, summed over all daemons. */
   readonly slack: number;
 }
 
-/** Arrivals beyond the first of each request in one window. */
+/** Retries in one window: arrivals other than the first one of each request. */
 export interface RepeatWindow {
-  /** Its beginning, in milliseconds. */
+  /** Start of the window, in milliseconds. */
   readonly from: number;
   readonly repeats: number;
   readonly requests: number;
   readonly allowed: number;
 }
 
-/** Index of the first time that is not before a moment. */
-function firstFrom(times: readonly number[], moment: number): number {
+/** Index of the first of some sorted times that is not before another one. */
+function firstFrom(times: readonly number[], from: number): number {
   let low = 0;
   let high = times.length;
   while (low < high) {
     const middle = Math.floor((low + high) / 2);
-    if (times[middle]! < moment) low = middle + 1;
+    if (times[middle]! < from) low = middle + 1;
     else high = middle;
   }
   return low;
@@ -37,28 +37,28 @@
   return firstFrom(times, to) - firstFrom(times, from);
 }
 
-/** Requests and arrivals of one service, with the times at which they happened. */
+/** Records the times of requests and arrivals of one service, and counts the retries among them. */
 export class RepeatRecord {
   private readonly requestTimes: number[] = [];
 
   private readonly arrivals: { readonly id: string; readonly at: number }[] = [];
 
-  /** A caller sent a request. */
+  /** Records that a caller sent a request. */
   request(at: number): void {
     this.requestTimes.push(at);
   }
 
-  /** A request arrived at a replica, whatever the replica did with it. */
+  /** Records that a request arrived at a replica, whether or not the replica ran it. */
   arrive(id: string, at: number): void {
     this.arrivals.push({ id, at });
   }
 
-  /** Number of requests of which one arrival is known. */
+  /** Number of requests that have arrived at least once. */
   arrived(): number {
     return new Set(this.arrivals.map(({ id }) => id)).size;
   }
 
-  /** Times of the arrivals beyond the first of each request, in order. */
+  /** Times of the arrivals other than the first one of each request, in order. */
   repeats(): number[] {
     const seen = new Set<string>();
     const ordered = [...this.arrivals].sort((left, right) => left.at - right.at);
@@ -66,33 +66,36 @@
   }
 
   /**
-   * Looks at every window that begins or ends with a repeat.
-   * @returns The windows, the one with the most repeats beyond what is allowed first.
+   * Evaluates every window that begins or ends with a retry.
+   * @returns The windows, beginning with the one that exceeds its allowance most or comes closest to it.
    */
   windows(bounds: RepeatBounds): RepeatWindow[] {
-    const repeats = this.repeats();
+    const retryTimes = this.repeats();
     const requests = [...this.requestTimes].sort((left, right) => left - right);
-    const starts = repeats.flatMap((at) => [at, at + INSTANT_MS - bounds.windowMs]);
+    const starts = retryTimes.flatMap((at) => [at, at + MIN_STEP_MS - bounds.windowMs]);
     return starts
-      .map((from) => windowFrom(from, repeats, requests, bounds))
+      .map((from) => windowFrom(from, retryTimes, requests, bounds))
       .sort((left, right) => right.repeats - right.allowed - (left.repeats - left.allowed));
   }
 }
 
-/** The requests that count are those of the window, of the one before it or of the one half a window before it. */
+/**
+ * Evaluates a window by the requests of the window itself, the one before or the one in between, whichever
+ * are most.
+ */
 function windowFrom(
   from: number,
-  repeats: readonly number[],
+  retryTimes: readonly number[],
   requestTimes: readonly number[],
   { ratio, windowMs, slack }: RepeatBounds,
 ): RepeatWindow {
-  const counted = [0, windowMs / 2, windowMs].map((earlier) =>
-    countBetween(requestTimes, from - earlier, from - earlier + windowMs),
+  const counted = [0, windowMs / 2, windowMs].map((offsetMs) =>
+    countBetween(requestTimes, from - offsetMs, from - offsetMs + windowMs),
   );
   const requests = Math.max(...counted);
   return {
     from,
-    repeats: countBetween(repeats, from, from + windowMs),
+    repeats: countBetween(retryTimes, from, from + windowMs),
     requests,
     allowed: ratio * requests + slack,
   };
--- a/packages/routing/test/testing.ts
+++ b/packages/routing/test/testing.ts
@@ -1,4 +1,4 @@
-/** What tests and stand-ins of other packages use of this one's. */
+/** Test utilities of this package that other packages use. */
 export type { Random } from './orders/random.js';
 export { createRandom } from './orders/random.js';
 export type { RawReplica, RawRequest } from './raw.js';
