--- a/packages/routing/src/core/ownership/engine-leases.ts
+++ b/packages/routing/src/core/ownership/engine-leases.ts
@@ -1,10 +1,14 @@
 /**
- * Which daemon gives orders to which engine.
+ * Ownership of engines: which daemon may send orders to which engine.
  *
- * A lease carries a fencing token that no two daemons can both use: the time of day in its high part, a number of
- * the daemon's own in its low part. The holder keeps its lease while it lives; a new daemon takes nothing from it.
- * The lease of an engine without an owner is taken by the living daemon that comes first for it by rendezvous hashing:
- * at once when the holder's process has ended, after the lease when it is only silent. The higher token wins.
+ * The owner of an engine is the daemon that holds its lease. It keeps the lease for as long as it is alive,
+ * so a daemon that joins moves no engines. An engine without an owner goes to the living daemon that
+ * rendezvous hashing selects: at once when the owner's process has ended or is shutting down, after a timeout
+ * when the owner is only silent.
+ *
+ * Every lease carries a fencing token: the time of day in milliseconds in its high part, and in its low part
+ * an id derived from the daemon's address, which keeps the tokens of different daemons apart. Of two leases
+ * on one engine, the one with the higher token wins.
  */
 import type { TimerService } from '@celeryyoke/core';
 import { hash32 } from '@celeryyoke/core';
@@ -12,82 +16,92 @@
 import { MemberState } from '../cluster/index.js';
 import { firstFor } from './rendezvous.js';
 
-/** Low part of a token: a number of the daemon's own. 2^12 keeps the token a safe integer until the year 2039. */
-const TOKEN_FACTOR = 4096;
 /**
- * Time for which a silent holder is waited out where engines refuse older tokens, in milliseconds: its orders can't
- * follow those of the next holder, so the wait only keeps a short silence from moving engines.
+ * Number of daemon ids in the low part of a token. With 2^12, tokens stay safe integers until the year 2039.
+ */
+const DAEMON_ID_RANGE = 4096;
+/**
+ * Time after which a silent owner loses its engines where engines refuse older tokens, in milliseconds. Its
+ * orders can't take effect after those of the next owner there, so the timeout only prevents moves after a
+ * short silence.
+ */
+const FENCED_SILENCE_TIMEOUT_MS = 500;
+/**
+ * Number of lease durations that a minority waits before it claims the engines of silent daemons and sends
+ * orders again: it is more likely to be cut off than the others are to be gone.
  */
-const FENCED_PATIENCE_MS = 500;
-/** Leases that a minority waits before it takes over from silent daemons: it is more likely cut off itself. */
-const MINORITY_LEASES = 3;
-/** Leases for which an engine that refused this daemon's token is left alone. */
-const REFUSED_LEASES = 2;
+const MINORITY_WAIT_LEASES = 3;
+/** Number of lease durations for which this daemon doesn't claim an engine that refused its token. */
+const REFUSED_TOKEN_BACKOFF_LEASES = 2;
 
-/** The right to give orders to one engine. */
+/** The right of one daemon to send orders to one engine. */
 export interface EngineLease {
+  /** Incarnation of the engine. */
   readonly replica: string;
-  /** The daemon that gives orders. */
+  /** Address of the daemon that holds the lease: the owner of the engine. */
   readonly holder: string;
-  /** Fencing token of its orders. */
+  /** Fencing token that the owner's orders carry. */
   readonly token: number;
 }
 
-/** What leases need to know of the fleet. */
-export interface FleetView {
+/** Fleet membership as the leases see it. */
+export interface FleetMembership {
   /** Addresses of the living daemons. */
   alive(): readonly string[];
-  /** Number of daemons that may live. */
+  /** Number of daemons that may be running: alive or silent. */
   possible(): number;
   state(address: string): MemberState;
+  /** Time since a daemon was last alive, in milliseconds; 0 while it is alive. */
   downForMs(address: string): number;
 }
 
-/** Options of the leases. */
+/** Options of {@link EngineLeases}. */
 export interface EngineLeasesOptions {
+  /** Address of this daemon. */
   readonly self: string;
-  readonly fleet: FleetView;
+  readonly fleet: FleetMembership;
   readonly timers: TimerService;
-  /** Longest time for which a holder that is not heard may still give orders, in milliseconds. */
+  /** Longest time for which a silent owner may still send orders, in milliseconds. */
   readonly leaseMs: number;
-  /** Whether engines refuse an order with a token that is lower than one they have seen. */
+  /** Whether engines refuse an order with a lower token than one that they have seen. */
   readonly isFenced: boolean;
-  /** Whether this daemon must first renew what it believes. */
+  /** Whether this daemon was paused so recently that its state of the fleet may be out of date. */
   readonly isRecovering: () => boolean;
-  /** Whether this daemon has heard of the fleet so recently that no other one can have taken an engine over unheard. */
+  /**
+   * Whether this daemon's state of the fleet is so recent that it can't have missed a claim by another
+   * daemon.
+   */
   readonly isUpToDate: () => boolean;
-  /** Whether this daemon knows the others and the leases that they hold. */
+  /** Whether this daemon knows the other daemons and the leases that they hold. */
   readonly hasSettled: () => boolean;
-  /** Called when this daemon gains or loses an engine. */
+  /** Called when this daemon has become the owner of an engine. */
   readonly onGain: (lease: EngineLease) => void;
+  /** Called when this daemon is no longer the owner of an engine. */
   readonly onLoss: (lease: EngineLease, reason: string) => void;
 }
 
-/** The leases that this daemon knows. */
+/** Table of all known leases; claims engines without an owner for this daemon. */
 export class EngineLeases {
   private readonly leases = new Map<string, EngineLease>();
 
-  /** Engines that refused this daemon's token, and until when it leaves them alone. */
-  private readonly refusedUntil = new Map<string, number>();
+  /** Engines that refused this daemon's token, with the monotonic time until which they are not claimed. */
+  private readonly backoffUntil = new Map<string, number>();
 
   private lastToken = 0;
 
-  private smallerSince: number | undefined;
+  /** Monotonic time since which this daemon sees less than half of the fleet alive, in milliseconds. */
+  private minoritySince: number | undefined;
 
   private isClosed = false;
 
   private isLeaving = false;
 
-  /**
-   * Makes a table without leases.
-   * @param options - The fleet and what to call.
-   */
   constructor(private readonly options: EngineLeasesOptions) {}
 
   /**
-   * Tells who gives orders to an engine.
-   * @param replica - The engine's incarnation.
-   * @returns The lease, or undefined when nobody holds it.
+   * Returns the lease of an engine.
+   * @param replica - Incarnation of the engine.
+   * @returns The lease, or undefined when the engine has no owner.
    */
   of(replica: string): EngineLease | undefined {
     return this.leases.get(replica);
@@ -98,28 +112,29 @@
     return [...this.leases.values()];
   }
 
-  /** The leases of this daemon. */
+  /** The leases that this daemon holds. */
   mine(): EngineLease[] {
     return [...this.leases.values()].filter(({ holder }) => holder === this.options.self);
   }
 
   /**
-   * Asked in the step that sends an order.
+   * Checks whether this daemon may send an order to an engine now. Call it in the same step that sends the
+   * order.
    * @param replica - The engine.
-   * @returns The token when this daemon may give it an order now, or undefined.
+   * @returns The fencing token for the order, or undefined when no order may be sent.
    */
   authority(replica: string): number | undefined {
     const lease = this.leases.get(replica);
     if (this.isClosed || lease?.holder !== this.options.self) return undefined;
     const { isFenced, isUpToDate } = this.options;
     if (!isFenced && !isUpToDate()) return undefined;
-    return this.options.isRecovering() || !this.isMajority(MINORITY_LEASES) ? undefined : lease.token;
+    return this.options.isRecovering() || !this.hasQuorum(MINORITY_WAIT_LEASES) ? undefined : lease.token;
   }
 
   /**
-   * Takes a lease that another daemon told.
+   * Merges a lease that another daemon published.
    * @param lease - The lease.
-   * @returns Whether it was news.
+   * @returns Whether it replaced the known lease.
    */
   take(lease: EngineLease): boolean {
     const known = this.leases.get(lease.replica);
@@ -131,7 +146,8 @@
   }
 
   /**
-   * Notes that an engine refused a token of this daemon: another one has given it orders since.
+   * Gives up an engine that refused a token of this daemon, which means that another daemon has sent it
+   * orders since.
    * @param replica - The engine.
    * @param token - The refused token.
    */
@@ -139,23 +155,26 @@
     const lease = this.leases.get(replica);
     if (lease?.token !== token) return;
     this.leases.delete(replica);
-    this.refusedUntil.set(replica, this.options.timers.now() + REFUSED_LEASES * this.options.leaseMs);
+    this.backoffUntil.set(
+      replica,
+      this.options.timers.now() + REFUSED_TOKEN_BACKOFF_LEASES * this.options.leaseMs,
+    );
     this.options.onLoss(lease, 'its token was refused');
   }
 
   /**
-   * Forgets an engine that is gone.
+   * Removes an engine that no longer exists.
    * @param replica - The engine.
    */
   forget(replica: string): void {
     const lease = this.leases.get(replica);
     this.leases.delete(replica);
-    this.refusedUntil.delete(replica);
-    if (lease?.holder === this.options.self) this.options.onLoss(lease, 'the engine is gone');
+    this.backoffUntil.delete(replica);
+    if (lease?.holder === this.options.self) this.options.onLoss(lease, 'the engine was removed');
   }
 
   /**
-   * Takes the leases of engines that have no owner and fall to this daemon.
+   * Claims the engines that have no owner and that rendezvous hashing assigns to this daemon.
    * @param replicas - All engines.
    */
   review(replicas: Iterable<string>): void {
@@ -163,62 +182,64 @@
     if (this.isClosed || this.isLeaving || !hasSettled() || isRecovering()) return;
     const alive = fleet.alive();
     for (const replica of replicas)
-      if (this.isOrphan(replica) && firstFor(replica, alive) === self) this.lease(replica);
+      if (this.isClaimable(replica) && firstFor(replica, alive) === self) this.claim(replica);
   }
 
   /**
-   * Takes no more leases, before a shutdown. What this daemon holds it keeps until another one has taken it, as in a
-   * rolling restart there may for seconds be none that stays.
+   * Stops claiming engines before a shutdown. This daemon keeps the leases that it holds until another daemon
+   * claims them: in a rolling restart there may be no daemon for seconds that could.
    */
   leave(): void {
     this.isLeaving = true;
   }
 
-  /** Gives up all leases of this daemon. */
+  /** Ends all claims and withdraws this daemon's right to send orders. */
   close(): void {
     this.isClosed = true;
   }
 
-  private isOrphan(replica: string): boolean {
+  private isClaimable(replica: string): boolean {
     const { fleet, leaseMs, isFenced, timers } = this.options;
-    if (timers.now() < (this.refusedUntil.get(replica) ?? 0)) return false;
+    if (timers.now() < (this.backoffUntil.get(replica) ?? 0)) return false;
     const lease = this.leases.get(replica);
     if (lease === undefined) return true;
     const state = fleet.state(lease.holder);
     if (state === MemberState.Ended || state === MemberState.Leaving) return true;
     if (state === MemberState.Alive) return false;
-    const ordinary = isFenced ? Math.min(FENCED_PATIENCE_MS, leaseMs) : leaseMs;
-    const patience = this.isMajority(0) ? ordinary : leaseMs * MINORITY_LEASES;
-    return fleet.downForMs(lease.holder) > patience;
+    const majorityTimeoutMs = isFenced ? Math.min(FENCED_SILENCE_TIMEOUT_MS, leaseMs) : leaseMs;
+    const timeoutMs = this.hasQuorum(0) ? majorityTimeoutMs : leaseMs * MINORITY_WAIT_LEASES;
+    return fleet.downForMs(lease.holder) > timeoutMs;
   }
 
   /**
-   * Whether this daemon is on the larger side, if the fleet is split.
-   * @param terms - Terms of a lease after which silent daemons no longer count; 0 when they always do.
+   * Whether this daemon sees at least half of the fleet alive, or has been in a minority for long enough to
+   * act alone.
+   * @param waitLeases - Lease durations after which a minority may act; 0 for never.
    */
-  private isMajority(terms: number): boolean {
+  private hasQuorum(waitLeases: number): boolean {
     const { fleet, leaseMs } = this.options;
     const alive = fleet.alive().length;
     if (alive * 2 >= fleet.possible()) return true;
-    if (terms === 0) return false;
-    return this.aloneForMs() > terms * leaseMs;
+    if (waitLeases === 0) return false;
+    return this.minorityForMs() > waitLeases * leaseMs;
   }
 
-  /** How long this daemon has been on the smaller side. */
-  private aloneForMs(): number {
+  /** How long this daemon has seen less than half of the fleet alive. */
+  private minorityForMs(): number {
     const { fleet, timers } = this.options;
-    const isSmaller = fleet.alive().length * 2 < fleet.possible();
-    if (!isSmaller) this.smallerSince = undefined;
-    else this.smallerSince ??= timers.now();
-    return this.smallerSince === undefined ? 0 : timers.now() - this.smallerSince;
+    const isMinority = fleet.alive().length * 2 < fleet.possible();
+    if (!isMinority) this.minoritySince = undefined;
+    else this.minoritySince ??= timers.now();
+    return this.minoritySince === undefined ? 0 : timers.now() - this.minoritySince;
   }
 
-  private lease(replica: string): void {
+  private claim(replica: string): void {
     const { self, timers } = this.options;
-    const own = hash32(self) % TOKEN_FACTOR;
+    const daemonId = hash32(self) % DAEMON_ID_RANGE;
     const highest = Math.max(this.lastToken, this.leases.get(replica)?.token ?? 0);
-    const base = Math.max(timers.wall(), Math.floor(highest / TOKEN_FACTOR) + 1);
-    const token = Math.floor(base) * TOKEN_FACTOR + own;
+    // A wall clock that was set back must not produce a lower token.
+    const base = Math.max(timers.wall(), Math.floor(highest / DAEMON_ID_RANGE) + 1);
+    const token = Math.floor(base) * DAEMON_ID_RANGE + daemonId;
     this.lastToken = token;
     const lease: EngineLease = { replica, holder: self, token };
     this.leases.set(replica, lease);
--- a/packages/routing/src/core/ownership/fleet-settling.ts
+++ b/packages/routing/src/core/ownership/fleet-settling.ts
@@ -1,56 +1,63 @@
-/** Tells when a daemon that has started knows the others well enough to decide what falls to it. */
+/** Tells when a daemon that has started knows the fleet well enough to decide what is assigned to it. */
 import type { TimerService } from '@celeryyoke/core';
 
-/** Least time after the start, in milliseconds: links to the seeds are up by then. */
-const SETTLE_MS = 350;
-/** Time without a change among the living daemons, in milliseconds: links take less. */
-const QUIET_MS = 200;
+/** Shortest time after the start, in milliseconds; connections to the seeds are established by then. */
+const MIN_SETTLE_MS = 350;
+/** Time for which the set of living daemons must not have changed, in milliseconds; connecting takes less. */
+const STABLE_MEMBERSHIP_MS = 200;
 /**
- * The same for a daemon that has met no other, in milliseconds: when all start at once, they are up within half a
- * second of each other, and each that decides alone makes the others' decisions void.
+ * Shortest time after the start for a daemon that has met no other, in milliseconds. Daemons that are started
+ * together are up within half a second of each other, and each that decides alone invalidates the decisions
+ * of the others.
  */
 const ALONE_SETTLE_MS = 1000;
-/** Longest time after the start in which changes among the daemons count, in milliseconds. */
+/** Time after the start from which changes of the membership no longer delay settling, in milliseconds. */
 const MAX_SETTLE_MS = 1500;
 
-/** Options of a settling. */
+/** Options of {@link FleetSettling}. */
 export interface FleetSettlingOptions {
   /** Addresses of the living daemons. */
   readonly alive: () => readonly string[];
-  /** Whether this daemon has been told what the others share, where there are others. */
+  /** Whether this daemon has received the shared state of the others, or there are no others. */
   readonly isInformed: () => boolean;
   readonly timers: TimerService;
 }
 
-/** Follows the living daemons after the start. */
+/**
+ * Decides when a starting daemon has settled: its membership has been stable for a while and it has received
+ * the shared state, or {@link MAX_SETTLE_MS} have passed.
+ */
 export class FleetSettling {
   private readonly startedAt: number;
 
-  /** The living daemons at the last look, and the monotonic time of their last change. */
-  private aliveBefore: readonly string[] = [];
+  /** The living daemons at the last check. */
+  private lastAlive: readonly string[] = [];
 
-  private changedAt = Number.NEGATIVE_INFINITY;
+  /** Monotonic time of the last change among the living daemons, in milliseconds. */
+  private membershipChangedAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * Begins at the start of the daemon.
+   * Counts the time since the start from now on.
    * @param options - The fleet and time.
    */
   constructor(private readonly options: FleetSettlingOptions) {
     this.startedAt = options.timers.now();
   }
 
-  /** Whether the others had time to tell who they are and what they share. */
+  /** Whether this daemon has settled; call it regularly, as it also watches the membership. */
   hasSettled(): boolean {
     const now = this.options.timers.now();
     const alive = this.options.alive();
-    if (!isSameList(alive, this.aliveBefore)) {
-      this.aliveBefore = alive;
-      this.changedAt = now;
+    if (!isSameList(alive, this.lastAlive)) {
+      this.lastAlive = alive;
+      this.membershipChangedAt = now;
     }
-    const age = now - this.startedAt;
-    if (age >= MAX_SETTLE_MS) return true;
-    const least = alive.length === 1 ? ALONE_SETTLE_MS : SETTLE_MS;
-    return age >= least && now - this.changedAt >= QUIET_MS && this.options.isInformed();
+    const ageMs = now - this.startedAt;
+    if (ageMs >= MAX_SETTLE_MS) return true;
+    const minAgeMs = alive.length === 1 ? ALONE_SETTLE_MS : MIN_SETTLE_MS;
+    return (
+      ageMs >= minAgeMs && now - this.membershipChangedAt >= STABLE_MEMBERSHIP_MS && this.options.isInformed()
+    );
   }
 }
 
--- a/packages/routing/src/core/ownership/index.ts
+++ b/packages/routing/src/core/ownership/index.ts
@@ -1,6 +1,6 @@
-/** Who gives orders to which engine. */
+/** Ownership of engines by daemons: leases, and the conditions under which they may be claimed and used. */
 export { FleetSettling } from './fleet-settling.js';
-export type { EngineLease, EngineLeasesOptions, FleetView } from './engine-leases.js';
+export type { EngineLease, EngineLeasesOptions, FleetMembership } from './engine-leases.js';
 export { EngineLeases } from './engine-leases.js';
 export { firstFor } from './rendezvous.js';
 export { PauseDetector } from './pause-detector.js';
--- a/packages/routing/src/core/ownership/pause-detector.ts
+++ b/packages/routing/src/core/ownership/pause-detector.ts
@@ -1,27 +1,36 @@
-/** Notices that the process or its machine stood still, so that nothing acts on what it believed before. */
+/**
+ * Detects that the process or its machine was paused, so that nothing acts on state from before the pause.
+ */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
 /** How often the clocks are compared, in milliseconds. */
-const LOOK_MS = 100;
-/** Gap that counts as a pause, in milliseconds; garbage collection and start-up stay below it. */
-const PAUSE_MS = 350;
+const CHECK_INTERVAL_MS = 100;
+/**
+ * Gap between two checks that counts as a pause, in milliseconds; garbage collection and start-up stay below
+ * it.
+ */
+const PAUSE_THRESHOLD_MS = 350;
 /** Time after a pause until peers have been heard again, in milliseconds: two heartbeats. */
 const RECOVERY_MS = 500;
 
-/** Compares the monotonic clock with its own ticks and with the time of day, which goes on in a suspended machine. */
+/**
+ * Compares the time between its checks on two clocks: the monotonic clock, and the time of day, which goes on
+ * while the machine is suspended.
+ */
 export class PauseDetector {
   private lastAt: number;
 
   private lastWall: number;
 
-  private clearAt = Number.NEGATIVE_INFINITY;
+  /** Monotonic time at which the recovery from the last pause ends, in milliseconds. */
+  private recoveredAt = Number.NEGATIVE_INFINITY;
 
-  private longestDelay = 0;
+  private longestDelayMs = 0;
 
-  private handle: TimerHandle | undefined;
+  private checkTimer: TimerHandle | undefined;
 
   /**
-   * Makes a watch that has not started.
+   * Creates a detector; {@link PauseDetector.start} begins the checks.
    * @param timers - Time.
    * @param onPause - Called with the length of a pause in milliseconds.
    */
@@ -33,41 +42,42 @@
     this.lastWall = timers.wall();
   }
 
-  /** Whether a pause ended so recently that beliefs are not renewed yet; looks at the clocks itself. */
+  /**
+   * Whether a pause ended so recently that the state of the fleet may still be out of date. Compares the
+   * clocks first, so that a pause since the last check counts.
+   */
   get isRecovering(): boolean {
-    this.look();
-    return this.timers.now() < this.clearAt;
+    this.check();
+    return this.timers.now() < this.recoveredAt;
   }
 
   /**
-   * Tells the longest delay of the event loop since the last question.
+   * Returns the longest delay of the event loop since the last call, and resets it.
    * @returns Milliseconds.
    */
   takeLongestDelay(): number {
-    const { longestDelay } = this;
-    this.longestDelay = 0;
-    return longestDelay;
+    const { longestDelayMs } = this;
+    this.longestDelayMs = 0;
+    return longestDelayMs;
   }
 
-  /** Starts to compare. */
   start(): void {
-    this.handle = this.timers.repeat(LOOK_MS, () => this.look());
+    this.checkTimer = this.timers.repeat(CHECK_INTERVAL_MS, () => this.check());
   }
 
-  /** Stops. */
   stop(): void {
-    this.handle?.cancel();
+    this.checkTimer?.cancel();
   }
 
-  private look(): void {
+  private check(): void {
     const now = this.timers.now();
     const wall = this.timers.wall();
     const gap = Math.max(now - this.lastAt, wall - this.lastWall);
     this.lastAt = now;
     this.lastWall = wall;
-    this.longestDelay = Math.max(this.longestDelay, gap - LOOK_MS);
-    if (gap < PAUSE_MS) return;
-    this.clearAt = now + RECOVERY_MS;
+    this.longestDelayMs = Math.max(this.longestDelayMs, gap - CHECK_INTERVAL_MS);
+    if (gap < PAUSE_THRESHOLD_MS) return;
+    this.recoveredAt = now + RECOVERY_MS;
     this.onPause(gap);
   }
 }
--- a/packages/routing/src/core/ownership/rendezvous.ts
+++ b/packages/routing/src/core/ownership/rendezvous.ts
@@ -1,21 +1,22 @@
-/** Rendezvous hashing: which daemon something falls to, by the living daemons alone. */
+/** Rendezvous hashing: assigns names to daemons by the set of living daemons alone. */
 import { hash32 } from '@celeryyoke/core';
 
 /**
- * Finds the daemon that comes first for a name; when a daemon ends, only what fell to it moves.
- * @param name - What is to be given to a daemon.
+ * Returns the daemon with the highest hash for a name. When a daemon ends, only the names assigned to it
+ * move.
+ * @param name - Name of what is assigned, such as an engine or a client account.
  * @param members - Addresses of the living daemons.
- * @returns Address of the first; undefined where there is none.
+ * @returns Address of a daemon, or undefined when there are none.
  */
 export function firstFor(name: string, members: readonly string[]): string | undefined {
-  let first: string | undefined;
-  let highest = -1;
+  let owner: string | undefined;
+  let highestScore = -1;
   for (const member of members) {
     const score = hash32(`${member}|${name}`);
-    if (score > highest) {
-      highest = score;
-      first = member;
+    if (score > highestScore) {
+      highestScore = score;
+      owner = member;
     }
   }
-  return first;
+  return owner;
 }
--- a/packages/routing/test/engine-leases.test.ts
+++ b/packages/routing/test/engine-leases.test.ts
@@ -1,13 +1,16 @@
-/** One daemon gives orders to an engine; a silent holder is waited out, and a refused one stops. */
+/**
+ * Ownership of engines: at most one daemon may send orders to an engine, also while daemons fail or are cut
+ * off.
+ */
 import { createManualTimers } from '@celeryyoke/core';
-import type { EngineLease, FleetView } from '@celeryyoke/routing';
+import type { EngineLease, FleetMembership } from '@celeryyoke/routing';
 import { EngineLeases, FleetSettling, MemberState } from '@celeryyoke/routing';
 import test from 'ava';
 
 const LEASE_MS = 3000;
 const SETTLED_MS = 1600;
 
-class FakeFleet implements FleetView {
+class FakeFleet implements FleetMembership {
   readonly states = new Map<string, MemberState>();
 
   readonly downFor = new Map<string, number>();
@@ -62,9 +65,9 @@
 
 const engines = Array.from({ length: 40 }, (_, index) => `engine-${index}`);
 
-test('daemons with the same view claim disjoint engines, and all of them, with different tokens', (t) => {
+test('daemons with the same membership claim every engine once, with distinct tokens', (t) => {
   const names = ['a', 'b', 'c'];
-  const all = names.flatMap((self) => {
+  const claimed = names.flatMap((self) => {
     const { timers, leases, gained } = setUp(
       self,
       names.filter((name) => name !== self),
@@ -73,17 +76,17 @@
     leases.review(engines);
     return gained;
   });
-  t.deepEqual(all.map(({ replica }) => replica).sort(), [...engines].sort());
-  t.is(new Set(all.map(({ token }) => token)).size, engines.length);
-  t.true(all.every(({ token }) => Number.isSafeInteger(token)));
+  t.deepEqual(claimed.map(({ replica }) => replica).sort(), [...engines].sort());
+  t.is(new Set(claimed.map(({ token }) => token)).size, engines.length);
+  t.true(claimed.every(({ token }) => Number.isSafeInteger(token)));
 });
 
-test('nothing is claimed before others had time to tell what they hold', (t) => {
+test('nothing is claimed before the membership has been stable for a while', (t) => {
   const { timers, fleet, leases, gained } = setUp();
   timers.advanceSync(300);
   leases.review(engines);
   t.is(gained.length, 0);
-  // A daemon that has just come up is waited for.
+  // A daemon that joins restarts the wait for a stable membership.
   fleet.states.set('d', MemberState.Alive);
   timers.advanceSync(100);
   leases.review(engines);
@@ -96,7 +99,7 @@
   t.true(gained.length > 0);
 });
 
-test('a daemon that has met no other waits longer, as the others may be starting', (t) => {
+test('a daemon that has met no other waits longer before it claims, as the others may be starting', (t) => {
   const { timers, leases, gained } = setUp('a', []);
   leases.review(engines);
   timers.advanceSync(900);
@@ -107,7 +110,7 @@
   t.true(gained.length > 0);
 });
 
-test('a living holder keeps its engine; an ended or leaving one loses it at once; a silent one after the lease', (t) => {
+test('an engine stays with a living owner, moves at once when it ends or leaves, after leaseMs when silent', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b']);
   timers.advanceSync(SETTLED_MS);
   leases.take({ replica: 'x', holder: 'b', token: 1 });
@@ -130,7 +133,7 @@
   t.is(other.gained.length, 1);
 });
 
-test('where engines refuse older tokens, a silent holder is not waited out for a whole lease', (t) => {
+test('where engines refuse older tokens, a silent owner loses its engine before leaseMs has passed', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b'], true);
   timers.advanceSync(SETTLED_MS);
   leases.take({ replica: 'x', holder: 'b', token: 1 });
@@ -143,26 +146,26 @@
   t.is(gained.length, 1);
 });
 
-test('the smaller side of a split fleet gives no orders and takes nothing over for some leases', (t) => {
+test('a minority of a partitioned fleet sends no orders and claims nothing until its wait is over', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b', 'c', 'd']);
   timers.advanceSync(SETTLED_MS);
   leases.review(engines);
-  const mine = gained[0]!.replica;
-  t.not(leases.authority(mine), undefined);
+  const ownEngine = gained[0]!.replica;
+  t.not(leases.authority(ownEngine), undefined);
   for (const name of ['b', 'c', 'd']) {
     fleet.states.set(name, MemberState.Silent);
     fleet.downFor.set(name, LEASE_MS + 500);
   }
   leases.take({ replica: 'theirs', holder: 'b', token: 1 });
-  const before = gained.length;
+  const gainedBefore = gained.length;
   leases.review(['theirs']);
-  t.is(gained.length, before);
-  t.is(leases.authority(mine), undefined);
+  t.is(gained.length, gainedBefore);
+  t.is(leases.authority(ownEngine), undefined);
   timers.advanceSync(3 * LEASE_MS + 100);
-  t.not(leases.authority(mine), undefined, 'a daemon that stays alone serves again');
+  t.not(leases.authority(ownEngine), undefined, 'a daemon that stays in the minority may send orders again');
 });
 
-test('a pause takes authority until beliefs are renewed', (t) => {
+test('a daemon that recovers from a pause may not send orders', (t) => {
   const { timers, leases, gained, flags } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
   leases.review(['x']);
@@ -171,7 +174,7 @@
   t.is(leases.authority('x'), undefined);
 });
 
-test('the higher token wins, and its loser stops', (t) => {
+test('a published lease replaces this daemon’s own only if its token is higher', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
   leases.review(['x']);
@@ -182,7 +185,7 @@
   t.deepEqual(lost, ['x']);
 });
 
-test('after a refused token the engine is left alone for some leases, then claimed with a higher one', (t) => {
+test('an engine that refused a token is claimed again only after a backoff, with a higher token', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
   leases.review(['x']);
@@ -196,7 +199,7 @@
   t.true(gained[1]!.token > token);
 });
 
-test('a leaving daemon keeps its engines until another one claims them, and claims no more', (t) => {
+test('a leaving daemon keeps its engines until another daemon claims them, and claims no more', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
   leases.review(['x']);
@@ -209,7 +212,7 @@
   t.deepEqual(lost, ['x']);
 });
 
-test('a clock that goes back makes no lower token', (t) => {
+test('a wall clock that is set back does not lower tokens', (t) => {
   const timers = createManualTimers();
   const claimed: EngineLease[] = [];
   let wall = 5_000_000;
@@ -232,7 +235,7 @@
   t.true(claimed[1]!.token > claimed[0]!.token);
 });
 
-test('a daemon that has not been told of the others’ leases takes none, though they are silent about them', (t) => {
+test('a daemon that has not received the shared state of the others claims no engine', (t) => {
   const { timers, leases, gained, flags } = setUp();
   flags.isInformed = false;
   leases.review(engines);
@@ -244,7 +247,7 @@
   t.true(gained.length > 0);
 });
 
-test('where engines check no tokens, a daemon that has not heard of the fleet gives no orders', (t) => {
+test('where engines do not check tokens, a daemon without recent state of the fleet sends no orders', (t) => {
   const { timers, leases, flags } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
   leases.review(['x']);
