--- a/packages/routing/src/core/dissemination/batch-timer.ts
+++ b/packages/routing/src/core/dissemination/batch-timer.ts
@@ -1,48 +1,49 @@
-/** Decides when collected changes are sent: soon when one is urgent, together with others otherwise. */
+/** Schedules batches of collected changes: soon for urgent changes, later together with others otherwise. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
-/** Least time between two batches, in milliseconds. */
-const LEAST_GAP_MS = 25;
+/** Shortest time between two batches, in milliseconds. */
+const MIN_INTERVAL_MS = 25;
 
-/** The next batch of one daemon. */
+/** Timer for the next batch; keeps at most one batch pending. */
 export class BatchTimer {
   /** Monotonic time of the last batch, in milliseconds. */
-  lastAt = 0;
+  lastSentAt = 0;
 
-  private next: { readonly dueAt: number; readonly handle: TimerHandle } | undefined;
+  private pending: { readonly dueAt: number; readonly handle: TimerHandle } | undefined;
 
   /**
-   * Makes a timer that waits for changes.
+   * Creates a timer without a pending batch.
    * @param timers - Time.
-   * @param onDue - Sends the batch.
+   * @param send - Sends the batch.
    */
   constructor(
     private readonly timers: TimerService,
-    private readonly onDue: () => void,
+    private readonly send: () => void,
   ) {}
 
   /**
-   * Has a batch sent.
-   * @param delayMs - Longest wait, in milliseconds; an earlier batch takes the changes along.
+   * Schedules a batch, unless one is due earlier already.
+   * @param delayMs - Longest wait, in milliseconds; {@link MIN_INTERVAL_MS} after the last batch may prolong
+   *   it.
    */
   schedule(delayMs: number): void {
     const now = this.timers.now();
-    const dueAt = Math.max(now + delayMs, this.lastAt + LEAST_GAP_MS);
-    if (this.next !== undefined && this.next.dueAt <= dueAt) return;
+    const dueAt = Math.max(now + delayMs, this.lastSentAt + MIN_INTERVAL_MS);
+    if (this.pending !== undefined && this.pending.dueAt <= dueAt) return;
     this.cancel();
-    this.next = { dueAt, handle: this.timers.after(dueAt - now, () => this.fire()) };
+    this.pending = { dueAt, handle: this.timers.after(dueAt - now, () => this.sendNow()) };
   }
 
-  /** Sends a batch now. */
-  fire(): void {
+  /** Sends a batch now, in place of a pending one. */
+  sendNow(): void {
     this.cancel();
-    this.lastAt = this.timers.now();
-    this.onDue();
+    this.lastSentAt = this.timers.now();
+    this.send();
   }
 
-  /** Takes the pending batch back. */
+  /** Cancels the pending batch. */
   cancel(): void {
-    this.next?.handle.cancel();
-    this.next = undefined;
+    this.pending?.handle.cancel();
+    this.pending = undefined;
   }
 }
--- a/packages/routing/src/core/dissemination/batch.ts
+++ b/packages/routing/src/core/dissemination/batch.ts
@@ -1,79 +1,76 @@
-/** What travels over the tree at once, and its form between daemons. */
+/** Messages of the dissemination tree: batches and subscriptions, and the wire format of a batch. */
 import type { Delta } from '../view/index.js';
 import type { Topic } from './types.js';
 
 /** Encoded rows by topic. */
 export type EncodedRows = readonly (readonly [topic: Topic, rows: readonly unknown[]])[];
 
-/** How fresh the sender's view of the platform is. */
+/** Age of the sender's view of the platform's store. */
 export interface ViewAge {
   /** Revision up to which the view is complete. */
   readonly upTo: number;
-  /** How long before {@link ViewAge.clock} that was confirmed, in milliseconds; below 0 when it never was. */
+  /**
+   * Time from the last confirmation of that to {@link ViewAge.clock}, in milliseconds; below 0 when there was
+   * none.
+   */
   readonly ageMs: number;
-  /** Time of sending on the monotonic clock of whichever of the two daemons is the parent; undefined when it is not known. */
+  /**
+   * Time of sending on the monotonic clock of the parent, whichever daemon sends; undefined when it is not
+   * known.
+   */
   readonly clock: number | undefined;
 }
 
-/** Rows and changes of the platform's view that travel together. */
+/** Rows of the shared state and changes of the platform's view that are sent together. */
 export interface Batch extends ViewAge {
   readonly rows: EncodedRows;
   readonly delta: Delta | undefined;
-  /** Raised by the root with each batch; undefined when the batch is the sender's own sign of life. */
-  readonly beat: number | undefined;
-  /** Digest of the members that the root knows, now and then. */
+  /** Number of the root's batch, which rises by one; undefined when the batch does not come from the root. */
+  readonly rootSequence: number | undefined;
+  /** Digest of the members that the root knows; only some of its batches carry it. */
   readonly digest: number | undefined;
 }
 
-/** Asks to be sent all further batches. */
+/** Request to be sent all further batches, with the subscriber's state. */
 export interface Subscription {
+  /** All rows that the subscriber knows. */
   readonly rows: EncodedRows;
   /** Revision up to which the subscriber's view is complete. */
   readonly upTo: number;
 }
 
-/** Answer to a subscription: the whole state. */
-export interface SubscriptionAnswer extends ViewAge {
+/** Response to a subscription, with the whole state of the parent. */
+export interface SubscriptionResponse extends ViewAge {
   readonly rows: EncodedRows;
   readonly delta: Delta | undefined;
-  /** Adapters that engines held of late, the latest last. */
+  /** Adapters that were resident on engines recently, the most recent one last. */
   readonly recent: readonly (readonly [replica: string, keys: readonly string[]])[];
 }
 
-/** Fields by position. Daemons of earlier releases send no clock, so it is the last one. */
+/** Wire format of a batch. Earlier releases send no clock, so it is the last element. */
 type BatchFrame = readonly [
   rows: EncodedRows,
   delta: Delta | null,
   upTo: number,
   ageMs: number,
-  beat: number | null,
+  rootSequence: number | null,
   digest: number | null,
   clock?: number | null,
 ];
 
-/**
- * Encodes a batch.
- * @param batch - The batch.
- * @returns Its compact form.
- */
-export function encodeBatch({ rows, delta, upTo, ageMs, clock, beat, digest }: Batch): BatchFrame {
-  return [rows, delta ?? null, upTo, ageMs, beat ?? null, digest ?? null, clock ?? null];
+export function encodeBatch({ rows, delta, upTo, ageMs, clock, rootSequence, digest }: Batch): BatchFrame {
+  return [rows, delta ?? null, upTo, ageMs, rootSequence ?? null, digest ?? null, clock ?? null];
 }
 
-/**
- * Decodes a batch.
- * @param frame - Its compact form.
- * @returns The batch.
- */
 export function decodeBatch(frame: unknown): Batch {
-  const [rows, delta, upTo, ageMs, beat, digest, clock] = frame as BatchFrame;
+  const [rows, delta, upTo, ageMs, rootSequence, digest, clock] = frame as BatchFrame;
   return {
     rows,
     delta: delta ?? undefined,
     upTo,
     ageMs,
     clock: clock ?? undefined,
-    beat: beat ?? undefined,
+    rootSequence: rootSequence ?? undefined,
     digest: digest ?? undefined,
   };
 }
--- a/packages/routing/src/core/dissemination/index.ts
+++ b/packages/routing/src/core/dissemination/index.ts
@@ -1,5 +1,5 @@
-/** State that all daemons share, kept the same over a tree of subscriptions. */
-export type { Batch, SubscriptionAnswer } from './batch.js';
+/** Replicates the state that all daemons share over a tree of subscriptions. */
+export type { Batch, SubscriptionResponse } from './batch.js';
 export { decodeBatch, encodeBatch } from './batch.js';
 export { ParentClock } from './parent-clock.js';
 export { FAN_OUT, chooseParent, readingRank } from './topology.js';
--- a/packages/routing/src/core/dissemination/parent-clock.ts
+++ b/packages/routing/src/core/dissemination/parent-clock.ts
@@ -1,58 +1,62 @@
 /**
- * Relates this daemon's monotonic clock to that of its parent, so that the time a message was on its way counts.
+ * Relates this daemon's monotonic clock to that of its parent, so that the age of what a message reports
+ * includes the time in transit.
  *
- * The difference between two clocks is known within bounds only: a message proves how large it is at most, an exchange
- * also how large it is at least. Conversions take the bound that makes what is converted older.
+ * The offset between two clocks is only known within bounds: a message from the parent gives an upper bound,
+ * a request and its response also a lower bound. Conversions use the bound that makes what is converted
+ * older.
  */
 
-/** Bounds on the difference between two monotonic clocks. */
+/** Bounds on the offset between this daemon's monotonic clock and its parent's. */
 export class ParentClock {
-  /** Bounds on this daemon's clock less the parent's, in milliseconds. */
-  private least = Number.NEGATIVE_INFINITY;
+  /** Lower bound on this daemon's clock minus the parent's, in milliseconds. */
+  private minOffsetMs = Number.NEGATIVE_INFINITY;
 
-  private most = Number.POSITIVE_INFINITY;
+  /** Upper bound on this daemon's clock minus the parent's, in milliseconds. */
+  private maxOffsetMs = Number.POSITIVE_INFINITY;
 
   /**
-   * Learns from a question that the parent answered with its clock.
-   * @param sentAt - Own time of the question, in milliseconds.
-   * @param parentAt - Time on the parent's clock.
-   * @param heardAt - Own time of the answer, in milliseconds.
+   * Narrows both bounds by a request to which the parent responded with its clock.
+   * @param sentAt - Time of the request on this daemon's clock, in milliseconds.
+   * @param parentAt - Time of the response on the parent's clock, in milliseconds.
+   * @param receivedAt - Time at which the response was handled, on this daemon's clock, in milliseconds.
    */
-  noteExchange(sentAt: number, parentAt: number, heardAt: number): void {
-    const least = sentAt - parentAt;
-    // The parent's clock has stood still since the bound was learnt.
-    if (least > this.most) this.most = heardAt - parentAt;
-    this.least = Math.max(this.least, least);
-    this.noteMessage(parentAt, heardAt);
+  recordExchange(sentAt: number, parentAt: number, receivedAt: number): void {
+    const minOffsetMs = sentAt - parentAt;
+    // The parent's clock has stood still since the upper bound was recorded.
+    if (minOffsetMs > this.maxOffsetMs) this.maxOffsetMs = receivedAt - parentAt;
+    this.minOffsetMs = Math.max(this.minOffsetMs, minOffsetMs);
+    this.recordMessage(parentAt, receivedAt);
   }
 
   /**
-   * Learns from a message that bears the parent's clock.
-   * @param parentAt - Time on the parent's clock when it was sent.
-   * @param heardAt - Own time at which it was handled, in milliseconds.
+   * Narrows the upper bound by a message that carries the parent's clock.
+   * @param parentAt - Time of sending on the parent's clock, in milliseconds.
+   * @param receivedAt - Time at which the message was handled, on this daemon's clock, in milliseconds.
    */
-  noteMessage(parentAt: number, heardAt: number): void {
-    this.most = Math.min(this.most, heardAt - parentAt);
-    // This daemon's own clock has stood still since the bound was learnt.
-    this.least = Math.min(this.least, this.most);
+  recordMessage(parentAt: number, receivedAt: number): void {
+    this.maxOffsetMs = Math.min(this.maxOffsetMs, receivedAt - parentAt);
+    // This daemon's clock has stood still since the lower bound was recorded.
+    this.minOffsetMs = Math.min(this.minOffsetMs, this.maxOffsetMs);
   }
 
   /**
-   * Tells how long ago something happened.
-   * @param parentAt - Time on the parent's clock.
-   * @param now - Own time, in milliseconds.
-   * @returns Milliseconds, rather too many than too few; Infinity while nothing is known.
+   * Returns the longest time that can have passed since an event.
+   * @param parentAt - Time of the event on the parent's clock, in milliseconds.
+   * @param now - Time on this daemon's clock, in milliseconds.
+   * @returns Milliseconds; Infinity before the first exchange.
    */
-  elapsedMs(parentAt: number, now: number): number {
-    return now - parentAt - this.least;
+  maxElapsedMs(parentAt: number, now: number): number {
+    return now - parentAt - this.minOffsetMs;
   }
 
   /**
-   * Tells the parent's time.
-   * @param now - Own time, in milliseconds.
-   * @returns Time on the parent's clock, rather too early than too late; undefined while nothing is known.
+   * Converts a time to the parent's clock.
+   * @param now - Time on this daemon's clock, in milliseconds.
+   * @returns The earliest time that the parent's clock can show, in milliseconds; undefined before the first
+   *   message.
    */
-  toParent(now: number): number | undefined {
-    return Number.isFinite(this.most) ? Math.floor(now - this.most) : undefined;
+  toParentTime(now: number): number | undefined {
+    return Number.isFinite(this.maxOffsetMs) ? Math.floor(now - this.maxOffsetMs) : undefined;
   }
 }
--- a/packages/routing/src/core/dissemination/topics.ts
+++ b/packages/routing/src/core/dissemination/topics.ts
@@ -1,80 +1,63 @@
-/** The topics of the shared state: merges, collects and writes rows without knowing what they mean. */
+/** The topics of the shared state: merges, collects and encodes rows through the handler of each topic. */
 import type { EncodedRows } from './batch.js';
 import type { Topic, TopicHandler } from './types.js';
 
-/** Rows of several topics that wait to be sent, the latest of each name. */
+/** Rows that wait to be sent, by topic; a later row of the same key replaces an earlier one. */
 export class RowSet {
   private readonly byTopic = new Map<Topic, Map<string, unknown>>();
 
-  /**
-   * Adds a row.
-   * @param topic - Its topic.
-   * @param key - Its name.
-   * @param row - The row.
-   */
   put(topic: Topic, key: string, row: unknown): void {
     const rows = this.byTopic.get(topic) ?? new Map<string, unknown>();
     this.byTopic.set(topic, rows);
     rows.set(key, row);
   }
 
-  /** Takes all rows out. */
-  drain(): [Topic, unknown[]][] {
+  /** Removes and returns all rows. */
+  takeAll(): [Topic, unknown[]][] {
     const found = [...this.byTopic].map(([topic, rows]): [Topic, unknown[]] => [topic, [...rows.values()]]);
     this.byTopic.clear();
     return found;
   }
 }
 
-/** The handlers of all topics. */
+/** Handlers of all topics, and operations on rows that call them. */
 export class TopicRegistry {
   private readonly handlers = new Map<Topic, TopicHandler<unknown>>();
 
-  /**
-   * Registers a topic.
-   * @param topic - The topic.
-   * @param handler - Merges and writes its rows.
-   */
   register<Row>(topic: Topic, handler: TopicHandler<Row>): void {
     this.handlers.set(topic, handler);
   }
 
   /**
-   * Finds the handler of a topic.
-   * @param topic - The topic.
-   * @returns The handler, or undefined for a topic that this daemon does not know.
+   * Returns the handler of a topic.
+   * @returns Undefined for a topic that is not registered.
    */
   get(topic: Topic): TopicHandler<unknown> | undefined {
     return this.handlers.get(topic);
   }
 
   /**
-   * Merges rows that another daemon sent.
-   * @param rows - Encoded rows.
-   * @param onNews - Called with each row that was news.
+   * Merges rows that another daemon sent. Rows of topics that are not registered are ignored.
+   * @param onChanged - Called with each row that changed the state of this daemon.
    */
-  merge(rows: EncodedRows, onNews: (topic: Topic, key: string, row: unknown) => void): void {
+  merge(rows: EncodedRows, onChanged: (topic: Topic, key: string, row: unknown) => void): void {
     for (const [topic, encoded] of rows) {
       const handler = this.handlers.get(topic);
       for (const wire of handler === undefined ? [] : encoded) {
         const row = handler!.decode(wire);
-        if (handler!.merge(row)) onNews(topic, handler!.keyOf(row), row);
+        if (handler!.merge(row)) onChanged(topic, handler!.keyOf(row), row);
       }
     }
   }
 
-  /** All rows of all topics. */
+  /** Encoded rows of all topics. */
   snapshot(): EncodedRows {
     return [...this.handlers].map(
       ([topic, handler]) => [topic, handler.snapshot().map((row) => handler.encode(row))] as const,
     );
   }
 
-  /**
-   * Encodes rows that were collected.
-   * @param rows - Rows by topic.
-   * @returns Their compact form.
-   */
+  /** Encodes rows of registered topics. */
   encode(rows: readonly (readonly [Topic, readonly unknown[]])[]): EncodedRows {
     return rows.map(([topic, found]) => {
       const handler = this.handlers.get(topic)!;
--- a/packages/routing/src/core/dissemination/tree.ts
+++ b/packages/routing/src/core/dissemination/tree.ts
@@ -1,16 +1,17 @@
 /**
- * Keeps the state that all daemons share the same on all of them.
+ * Replicates the shared state to all daemons over a tree.
  *
- * Changes travel up a tree to its root, which sends them down to all daemons in batches. Rows carry versions, so one
- * that comes twice or late changes nothing. A daemon subscribes to its parent and takes another one when that parent
- * ends, falls silent or has no news of a root; both sides exchange their whole state then, so that nothing is missed.
+ * Changes are sent up the tree to its root, which sends them down to all daemons in batches. Rows carry
+ * versions, so a row that arrives twice or late changes nothing. A daemon subscribes to its parent, and to
+ * another one when that parent ends, falls silent or receives no more batches of a root. On subscription both
+ * sides exchange their whole state, so that no change is lost.
  */
 import type { DecisionLog, TimerHandle, TimerService } from '@celeryyoke/core';
 
 import type { Cluster, Member, PeerChannel } from '../cluster/index.js';
 import { MemberState, MessageType } from '../cluster/index.js';
 import type { Delta, ReplicatedStore } from '../view/index.js';
-import type { Batch, EncodedRows, Subscription, SubscriptionAnswer, ViewAge } from './batch.js';
+import type { Batch, EncodedRows, Subscription, SubscriptionResponse, ViewAge } from './batch.js';
 import { decodeBatch, encodeBatch } from './batch.js';
 import { BatchTimer } from './batch-timer.js';
 import { ParentClock } from './parent-clock.js';
@@ -20,43 +21,46 @@
 import type { Topic, TopicHandler } from './types.js';
 import { ViewFeed } from './view-feed.js';
 
-/** How often a daemon looks at its place in the tree, in milliseconds. */
-const REVIEW_MS = 100;
-/** Time for which the root collects changes, in milliseconds. */
+/** How often a daemon checks its position in the tree, in milliseconds. */
+const REVIEW_INTERVAL_MS = 100;
+/** Time for which the root collects changes for a batch, in milliseconds. */
 const ROOT_BATCH_MS = 100;
-/** Time for which the others collect changes on their way up, in milliseconds. */
+/** Time for which other daemons collect changes for a batch to their parent, in milliseconds. */
 const UP_BATCH_MS = 30;
-/** Time for which urgent changes are collected, in milliseconds. */
+/** Time for which urgent changes are collected for a batch, in milliseconds. */
 const URGENT_BATCH_MS = 2;
-/** Longest time between two batches of the root, and between two signs of life of any parent, in milliseconds. */
-const BEAT_MS = 300;
-/** Time without a batch after which a parent counts as failed, in milliseconds. */
-const SILENT_PARENT_MS = 1200;
-/** Time without a batch of a root after which another parent is tried, in milliseconds. */
-const LOST_ROOT_MS = 2500;
-/** Time for which a parent that failed is not chosen again, in milliseconds. */
-const EXCLUSION_MS = 4000;
-/** Time for which a daemon stays where it is when the members say that its place is elsewhere, in milliseconds. */
-const REBALANCE_MS = 5000;
-/** The same for a root, as there should be one. */
-const ROOT_REBALANCE_MS = 500;
-/** Longest wait for the answer of a parent, in milliseconds. */
+/** Longest time between two batches to subscribers, of the root and of any other parent, in milliseconds. */
+const KEEPALIVE_INTERVAL_MS = 300;
+/** Time without a batch from the parent after which it counts as failed, in milliseconds. */
+const PARENT_TIMEOUT_MS = 1200;
+/** Time without a batch of the root after which the parent counts as failed, in milliseconds. */
+const ROOT_TIMEOUT_MS = 2500;
+/** Time for which a failed parent is not chosen again, in milliseconds. */
+const PARENT_EXCLUSION_MS = 4000;
+/**
+ * Time before a daemon with a working position moves to the one that the membership assigns, in milliseconds.
+ */
+const REPOSITION_DELAY_MS = 5000;
+/** The same for a root, in milliseconds: shorter, as there should be only one root. */
+const ROOT_REPOSITION_DELAY_MS = 500;
+/** Timeout of a subscription request, in milliseconds. */
 const SUBSCRIBE_TIMEOUT_MS = 1000;
-/** Longest wait for the answer of a daemon that is asked for the age of its last batch, in milliseconds. */
+/** Timeout of a request for the age of the last batch of a root, in milliseconds. */
 const ROOT_AGE_TIMEOUT_MS = 250;
-/** Age of the last batch of a root up to which that root is believed to work, in milliseconds. */
-const FRESH_ROOT_MS = 800;
+/** Age of the last batch of a root up to which that root counts as working, in milliseconds. */
+const MAX_ROOT_AGE_MS = 800;
 
-/** Interval in which a daemon asks its parent for its clock, in milliseconds. */
-const CLOCK_MS = 2000;
-/** Longest wait for that answer, in milliseconds. */
+/** Interval of requests for the parent's clock, in milliseconds. */
+const CLOCK_INTERVAL_MS = 2000;
+/** Timeout of such a request, in milliseconds. */
 const CLOCK_TIMEOUT_MS = 1000;
 
-/** Interval in which the root tells a digest of the members, in milliseconds. */
-const DIGEST_MS = 2000;
+/** Interval at which the root adds a digest of the members to a batch, in milliseconds. */
+const DIGEST_INTERVAL_MS = 2000;
 
-/** Options of the tree. */
+/** Options of {@link DisseminationTree}. */
 export interface DisseminationOptions {
+  /** Address of this daemon. */
   readonly self: string;
   readonly cluster: Pick<
     Cluster,
@@ -74,139 +78,144 @@
   readonly view: ReplicatedStore;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  /** Adapters that engines held of late, for daemons that have just subscribed. */
-  readonly recent: () => SubscriptionAnswer['recent'];
+  /** Adapters that were resident on engines recently, for daemons that subscribe. */
+  readonly recent: () => SubscriptionResponse['recent'];
+  /** Merges what a parent reports as recently resident on an engine. */
   readonly takeRecent: (replica: string, keys: readonly string[]) => void;
 }
 
-/** This daemon's place in the tree. */
+/**
+ * This daemon's node in the tree: chooses a parent, sends changes to it, and pushes batches to subscribers.
+ *
+ * Rows in updates from subscribers are merged and sent on towards the root. Batches from the parent are
+ * merged and forwarded to the subscribers with their rows unchanged.
+ */
 export class DisseminationTree {
   private readonly topics = new TopicRegistry();
 
-  private readonly pending = new RowSet();
+  private readonly pendingRows = new RowSet();
 
-  private readonly subscriberList: Subscribers;
+  private readonly subscriberTable: Subscribers;
 
   private readonly viewFeed: ViewFeed;
 
   private readonly batchTimer: BatchTimer;
 
-  /** Members that failed as a parent, and until when they are not chosen. */
+  /** Members that failed as a parent, with the monotonic time until which they are not chosen. */
   private readonly excludedUntil = new Map<string, number>();
 
-  /** The daemon that this one subscribes to; undefined for a root, and while there is none. */
+  /** The daemon that this one subscribes to; undefined for the root, and while a parent is sought. */
   private parent: string | undefined;
 
   private parentClock = new ParentClock();
 
-  /** Monotonic time at which the parent was last asked for its clock. */
-  private clockAskedAt = 0;
+  /** Monotonic time of the last request for the parent's clock, in milliseconds. */
+  private clockRequestedAt = 0;
 
   private isRoot = false;
 
   private isSubscribed = false;
 
-  /** Whether rows are merged that came from the parent: they need not go up again. */
-  private isApplyingPush = false;
+  /** Whether rows from the parent are being merged: they need not be sent up again. */
+  private isMergingFromParent = false;
 
-  private isSeekingRoot = false;
+  private isRequestingRootAge = false;
 
-  /** Monotonic times of the parent's last batch, and of the last batch of a root. */
-  private heardAt = 0;
+  /** Monotonic time of the parent's last batch, in milliseconds. */
+  private parentBatchAt = 0;
 
-  private rootHeardAt = 0;
+  /** Monotonic time of the last batch of a root, in milliseconds. */
+  private rootBatchAt = 0;
 
-  /** Batches that this daemon has sent as the root. */
-  private beat = 0;
+  /** Number of batches that this daemon has sent as the root. */
+  private rootSequence = 0;
 
-  /** Monotonic time of the last digest that this daemon told as the root. */
-  private digestAt = 0;
+  /** Monotonic time of the last digest that this daemon sent as the root, in milliseconds. */
+  private digestPublishedAt = 0;
 
   /** Digests of the root and of this daemon that differed when they were last compared. */
   private differingDigests: string | undefined;
 
-  /** Monotonic time since which the members' list says that its place is elsewhere. */
-  private misplacedSince: number | undefined;
+  /**
+   * Monotonic time since which the membership assigns another position than the present one, in milliseconds.
+   */
+  private outOfPositionSince: number | undefined;
 
-  private reviewing: TimerHandle | undefined;
+  private reviewTimer: TimerHandle | undefined;
 
   /**
-   * Makes a place that is not taken yet.
-   * @param options - The members, the platform's view and time.
+   * Registers the handlers of messages; {@link DisseminationTree.start} takes a position in the tree.
+   * @param options - The cluster, the platform's view and time.
    */
   constructor(private readonly options: DisseminationOptions) {
     const { cluster, timers } = options;
-    this.subscriberList = new Subscribers(timers);
+    this.subscriberTable = new Subscribers(timers);
     this.viewFeed = new ViewFeed(options);
     this.batchTimer = new BatchTimer(timers, () => this.sendBatch());
     cluster.handle(MessageType.Subscribe, (from, body: Subscription, channel) =>
-      this.accept(from, body, channel),
+      this.acceptSubscriber(from, body, channel),
     );
-    cluster.handle(MessageType.Unsubscribe, (from) => this.subscriberList.remove(from.address));
+    cluster.handle(MessageType.Unsubscribe, (from) => this.subscriberTable.remove(from.address));
     cluster.handle(MessageType.Update, (_from, body) => this.handleUpdate(decodeBatch(body)));
     cluster.handle(MessageType.Clock, () => timers.now());
     cluster.handle(MessageType.RootAge, () => Math.round(this.ageMs));
     cluster.handle(MessageType.ViewChanges, (_from, upTo: number) => options.view.since(upTo));
     cluster.handlePush((from, body) => this.handlePush(from, decodeBatch(body)));
     cluster.onLinkEnd((address) => this.handleLinkEnd(address));
-    cluster.onChannelClose((channel) => this.subscriberList.removeChannel(channel));
+    cluster.onChannelClose((channel) => this.subscriberTable.removeChannel(channel));
   }
 
-  /**
-   * Registers a topic.
-   * @param topic - The topic.
-   * @param handler - Merges and writes its rows.
-   */
   register<Row>(topic: Topic, handler: TopicHandler<Row>): void {
     this.topics.register(topic, handler);
   }
 
-  /** Takes a place. */
+  /** Takes a position in the tree, and keeps it up to date. */
   start(): void {
-    this.review();
-    this.reviewing = this.options.timers.repeat(REVIEW_MS, () => this.review());
+    this.updatePosition();
+    this.reviewTimer = this.options.timers.repeat(REVIEW_INTERVAL_MS, () => this.updatePosition());
   }
 
-  /** Leaves the place. */
+  /** Stops sending batches and moving in the tree. */
   stop(): void {
-    this.reviewing?.cancel();
+    this.reviewTimer?.cancel();
     this.batchTimer.cancel();
   }
 
   /** Age of the last batch of a root, in milliseconds; 0 for the root itself. */
   get ageMs(): number {
-    return this.isRoot ? 0 : this.options.timers.now() - this.rootHeardAt;
+    return this.isRoot ? 0 : this.options.timers.now() - this.rootBatchAt;
   }
 
-  /** Whether this daemon is the root, or has the whole state from its parent. */
+  /** Whether this daemon is the root or has received the whole state from its parent. */
   get isPlaced(): boolean {
     return this.isRoot || this.isSubscribed;
   }
 
-  /** Daemons that subscribe to this one. */
+  /** Number of daemons that subscribe to this one. */
   get subscribers(): number {
-    return this.subscriberList.size;
+    return this.subscriberTable.size;
   }
 
   /**
-   * Publishes a row that this daemon has changed.
-   * @param topic - Its topic.
+   * Publishes a changed row to all daemons.
+   * @param topic - Topic of the row.
    * @param row - The row.
-   * @param isOwn - Whether it is said by this daemon itself, also while it merges what others say.
+   * @param isOwn - Whether the change is this daemon's own. Other changes that come up while rows from the
+   *   parent are merged are not published, as the parent has them.
    */
   publish<Row>(topic: Topic, row: Row, isOwn = true): void {
     const handler = this.topics.get(topic);
-    if (handler === undefined || (this.isApplyingPush && !isOwn)) return;
+    if (handler === undefined || (this.isMergingFromParent && !isOwn)) return;
     this.enqueue(topic, handler.keyOf(row), row);
   }
 
   /**
-   * Publishes what this daemon has read of the platform.
-   * @param isNews - Whether it found changes.
+   * Publishes the view after this daemon has read the platform's store.
+   * @param hasChanges - Whether the store had changes.
    */
-  publishView(isNews: boolean): void {
-    if (!this.isRoot) this.passView();
-    this.schedule(isNews ? URGENT_BATCH_MS : this.batchMs);
+  publishView(hasChanges: boolean): void {
+    if (!this.isRoot) this.forwardView();
+    this.schedule(hasChanges ? URGENT_BATCH_MS : this.batchMs);
   }
 
   private get batchMs(): number {
@@ -214,7 +223,7 @@
   }
 
   private enqueue(topic: Topic, key: string, row: unknown): void {
-    this.pending.put(topic, key, row);
+    this.pendingRows.put(topic, key, row);
     this.schedule(this.topics.get(topic)?.isUrgent ? URGENT_BATCH_MS : this.batchMs);
   }
 
@@ -225,125 +234,147 @@
   private sendBatch(): void {
     if (this.isRoot) this.pushAsRoot();
     else if (this.isSubscribed && this.parent !== undefined) this.sendUp(this.parent);
-    // Without a parent the rows wait; the next one gets the whole state.
+    // Without a parent the rows stay pending; the next parent receives the whole state on subscription.
   }
 
   private pushAsRoot(): void {
-    this.beat += 1;
-    const rows = this.topics.encode(this.pending.drain());
+    this.rootSequence += 1;
+    const rows = this.topics.encode(this.pendingRows.takeAll());
     this.push({
       ...this.viewFeed.age(this.options.timers.now()),
       rows,
       delta: this.viewFeed.takeUnsent(),
-      beat: this.beat,
+      rootSequence: this.rootSequence,
       digest: this.takeDigest(),
     });
   }
 
   private sendUp(parent: string): void {
-    const rows = this.topics.encode(this.pending.drain());
-    const clock = this.parentClock.toParent(this.options.timers.now());
+    const rows = this.topics.encode(this.pendingRows.takeAll());
+    const clock = this.parentClock.toParentTime(this.options.timers.now());
     const delta = this.viewFeed.takeUnsent();
-    const batch: Batch = { ...this.viewFeed.age(clock), rows, delta, beat: undefined, digest: undefined };
+    const batch: Batch = {
+      ...this.viewFeed.age(clock),
+      rows,
+      delta,
+      rootSequence: undefined,
+      digest: undefined,
+    };
     this.options.cluster.send(parent, MessageType.Update, encodeBatch(batch));
   }
 
-  /** Digest of the members, if it is time to tell it again. */
+  /** Digest of the members if it is due in this batch. */
   private takeDigest(): number | undefined {
     const now = this.options.timers.now();
-    if (now - this.digestAt < DIGEST_MS) return undefined;
-    this.digestAt = now;
+    if (now - this.digestPublishedAt < DIGEST_INTERVAL_MS) return undefined;
+    this.digestPublishedAt = now;
     return this.options.cluster.digest();
   }
 
   private push(batch: Batch): void {
-    this.subscriberList.push(batch);
+    this.subscriberTable.push(batch);
   }
 
-  private signOfLife(): Batch {
+  private keepalive(): Batch {
     const age = this.viewFeed.age(this.options.timers.now());
-    return { ...age, rows: [], delta: undefined, beat: undefined, digest: undefined };
+    return { ...age, rows: [], delta: undefined, rootSequence: undefined, digest: undefined };
   }
 
   private handleUpdate(batch: Batch): void {
     this.topics.merge(batch.rows, (topic, key, row) => this.enqueue(topic, key, row));
     const { clock } = batch;
-    const onWayMs = clock === undefined ? Number.POSITIVE_INFINITY : this.options.timers.now() - clock;
-    if (!this.viewFeed.takeFromBelow(batch, onWayMs)) return;
-    if (!this.isRoot) this.passView();
+    const transitMs = clock === undefined ? Number.POSITIVE_INFINITY : this.options.timers.now() - clock;
+    if (!this.viewFeed.mergeFromChild(batch, transitMs)) return;
+    if (!this.isRoot) this.forwardView();
     this.schedule(URGENT_BATCH_MS);
   }
 
-  /** Sends a view that did not come from the parent to those below: the way over the root may be slow or broken. */
-  private passView(): void {
-    const delta = this.viewFeed.takeUnpassed();
-    this.push({ ...this.signOfLife(), delta });
+  /**
+   * Sends a view that did not come from the parent to the subscribers: the path over the root may be slow or
+   * broken.
+   */
+  private forwardView(): void {
+    const delta = this.viewFeed.takeUnforwarded();
+    this.push({ ...this.keepalive(), delta });
   }
 
   private handlePush(from: string, batch: Batch): void {
     if (from !== this.parent) return;
-    this.heardAt = this.options.timers.now();
-    const onWayMs = this.noteWay(batch);
-    if (batch.beat !== undefined) this.rootHeardAt = this.heardAt;
-    if (!isSignOfLife(batch)) this.passOn(batch, onWayMs);
-    this.merge(batch.rows);
-    this.viewFeed.takeFromAbove(batch, onWayMs, from);
-    if (batch.digest !== undefined) this.compare(batch.digest, from);
+    this.parentBatchAt = this.options.timers.now();
+    const transitMs = this.recordTransit(batch);
+    if (batch.rootSequence !== undefined) this.rootBatchAt = this.parentBatchAt;
+    if (!isKeepalive(batch)) this.forwardBatch(batch, transitMs);
+    this.mergeFromParent(batch.rows);
+    this.viewFeed.mergeFromParent(batch, transitMs, from);
+    if (batch.digest !== undefined) this.compareDigest(batch.digest, from);
   }
 
-  /** Learns from the clock in a batch of the parent; the result is how long the batch was on its way, in milliseconds. */
-  private noteWay({ clock }: ViewAge): number {
+  /**
+   * Narrows the bounds on the parent's clock by a batch from it.
+   * @returns Longest time that the batch can have been in transit, in milliseconds.
+   */
+  private recordTransit({ clock }: ViewAge): number {
     if (clock === undefined) return Number.POSITIVE_INFINITY;
-    this.parentClock.noteMessage(clock, this.heardAt);
-    return this.parentClock.elapsedMs(clock, this.heardAt);
+    this.parentClock.recordMessage(clock, this.parentBatchAt);
+    return this.parentClock.maxElapsedMs(clock, this.parentBatchAt);
   }
 
-  /** Sends a batch of the parent to those below, whose parent is this daemon. */
-  private passOn(batch: Batch, onWayMs: number): void {
-    const isKnown = batch.ageMs >= 0 && Number.isFinite(onWayMs);
-    const ageMs = isKnown ? Math.ceil(batch.ageMs + onWayMs) : -1;
-    this.viewFeed.notePassed(batch.upTo);
-    this.push({ ...batch, ageMs, clock: this.heardAt });
+  /**
+   * Forwards a batch of the parent to the subscribers, with its age and clock converted to this daemon's
+   * clock.
+   */
+  private forwardBatch(batch: Batch, transitMs: number): void {
+    const isKnown = batch.ageMs >= 0 && Number.isFinite(transitMs);
+    const ageMs = isKnown ? Math.ceil(batch.ageMs + transitMs) : -1;
+    this.viewFeed.markForwarded(batch.upTo);
+    this.push({ ...batch, ageMs, clock: this.parentBatchAt });
   }
 
-  /** Subscribes anew when the root has known other members than this daemon for a while: something was missed. */
-  private compare(digest: number, parent: string): void {
+  /**
+   * Subscribes again when two digests in a row differ from this daemon's and neither side has changed in
+   * between: this daemon has missed an update.
+   */
+  private compareDigest(digest: number, parent: string): void {
     const pair = `${digest} ${this.options.cluster.digest()}`;
     const isSame = digest === this.options.cluster.digest();
     if (!isSame && pair === this.differingDigests) {
-      this.options.log.debug(`Knows other members than the root; subscribes to ${parent} anew.`);
+      this.options.log.debug(`Members differ from those of the root; subscribing to ${parent} again.`);
       this.differingDigests = undefined;
       void this.subscribe(parent);
     } else this.differingDigests = isSame ? undefined : pair;
   }
 
-  private merge(rows: EncodedRows): void {
-    this.isApplyingPush = true;
+  private mergeFromParent(rows: EncodedRows): void {
+    this.isMergingFromParent = true;
     try {
       this.topics.merge(rows, () => undefined);
     } finally {
-      this.isApplyingPush = false;
+      this.isMergingFromParent = false;
     }
   }
 
-  private accept(
+  private acceptSubscriber(
     { address }: Member,
     { rows, upTo }: Subscription,
     channel: PeerChannel,
-  ): Omit<SubscriptionAnswer, 'delta'> & { delta: Delta | null } {
-    if (address === this.parent) this.takeOver(address);
+  ): Omit<SubscriptionResponse, 'delta'> & { delta: Delta | null } {
+    if (address === this.parent) this.takeOverRoot(address);
     this.topics.merge(rows, (topic, key, row) => this.enqueue(topic, key, row));
-    this.subscriberList.add(address, channel);
+    this.subscriberTable.add(address, channel);
     const { view, recent } = this.options;
     const delta = view.upTo > upTo ? view.since(upTo) : null;
     const age = this.viewFeed.age(this.options.timers.now());
     return { ...age, rows: this.topics.snapshot(), delta, recent: recent() };
   }
 
-  /** The parent wants to be fed by this daemon: right when this daemon is to be the root, a circle otherwise. */
-  private takeOver(parent: string): void {
-    if (this.chooseParent() !== undefined) throw new Error('This daemon subscribes to the one that asks.');
-    this.options.log.debug(`Takes the root over from ${parent}.`);
+  /**
+   * Handles a subscription by this daemon's own parent: correct when this daemon is to become the root, a
+   * cycle otherwise.
+   */
+  private takeOverRoot(parent: string): void {
+    if (this.chooseParent() !== undefined)
+      throw new Error('Subscription refused: this daemon subscribes to the sender.');
+    this.options.log.debug(`Becoming the root of the shared state in place of ${parent}.`);
     this.attach(undefined);
   }
 
@@ -351,28 +382,29 @@
     if (address !== this.parent) return;
     this.isSubscribed = false;
     this.parent = undefined;
-    this.options.timers.after(REVIEW_MS / 4, () => this.review());
+    this.options.timers.after(REVIEW_INTERVAL_MS / 4, () => this.updatePosition());
   }
 
-  private review(): void {
+  private updatePosition(): void {
     const now = this.options.timers.now();
     this.checkParent(now);
-    const place = this.chooseParent();
-    if (place === this.parent && (place !== undefined || this.isRoot)) this.misplacedSince = undefined;
-    else if (this.hasPatience(now)) this.misplacedSince ??= now;
-    else if (place === undefined) void this.becomeRoot();
-    else this.attach(place);
-    this.askForClock(now);
-    if (now - this.subscriberList.pushedAt < BEAT_MS) return;
-    if (this.isRoot) this.batchTimer.fire();
-    else this.push(this.signOfLife());
-  }
-
-  /** Asks the parent for its clock now and then: either clock may have stood still. */
-  private askForClock(now: number): void {
+    const position = this.chooseParent();
+    if (position === this.parent && (position !== undefined || this.isRoot))
+      this.outOfPositionSince = undefined;
+    else if (this.keepsPosition(now)) this.outOfPositionSince ??= now;
+    else if (position === undefined) void this.becomeRoot();
+    else this.attach(position);
+    this.requestClock(now);
+    if (now - this.subscriberTable.lastPushAt < KEEPALIVE_INTERVAL_MS) return;
+    if (this.isRoot) this.batchTimer.sendNow();
+    else this.push(this.keepalive());
+  }
+
+  /** Requests the parent's clock regularly, as either clock may have stood still. */
+  private requestClock(now: number): void {
     const { parent, parentClock } = this;
-    if (parent === undefined || !this.isSubscribed || now - this.clockAskedAt < CLOCK_MS) return;
-    this.clockAskedAt = now;
+    if (parent === undefined || !this.isSubscribed || now - this.clockRequestedAt < CLOCK_INTERVAL_MS) return;
+    this.clockRequestedAt = now;
     void this.exchangeClocks(parent, parentClock);
   }
 
@@ -380,54 +412,55 @@
     const { cluster, timers, log } = this.options;
     const sentAt = timers.now();
     try {
-      const answer = await cluster.request(parent, MessageType.Clock, null, CLOCK_TIMEOUT_MS);
-      if (typeof answer === 'number') parentClock.noteExchange(sentAt, answer, timers.now());
+      const parentNow = await cluster.request(parent, MessageType.Clock, null, CLOCK_TIMEOUT_MS);
+      if (typeof parentNow === 'number') parentClock.recordExchange(sentAt, parentNow, timers.now());
     } catch (err) {
-      log.debug(`${parent} does not tell its clock: ${String(err)}.`);
+      log.debug(`Could not get the clock of ${parent}: ${String(err)}.`);
     }
   }
 
+  /** Detaches from a parent that is not alive, is silent or has lost the root. */
   private checkParent(now: number): void {
     const { parent } = this;
     if (parent === undefined) return;
-    const isSilent = this.isSubscribed && now - this.heardAt > SILENT_PARENT_MS;
-    const isLost = this.isSubscribed && now - this.rootHeardAt > LOST_ROOT_MS;
-    if (isSilent || isLost) this.excludedUntil.set(parent, now + EXCLUSION_MS);
+    const isSilent = this.isSubscribed && now - this.parentBatchAt > PARENT_TIMEOUT_MS;
+    const isLost = this.isSubscribed && now - this.rootBatchAt > ROOT_TIMEOUT_MS;
+    if (isSilent || isLost) this.excludedUntil.set(parent, now + PARENT_EXCLUSION_MS);
     else if (this.options.cluster.state(parent) === MemberState.Alive) return;
     this.detach();
   }
 
-  /** Whether a place that works is kept for now although it is another one than the members say. */
-  private hasPatience(now: number): boolean {
+  /** Whether this daemon keeps a working position for now although the membership assigns it another one. */
+  private keepsPosition(now: number): boolean {
     if (this.isRoot && this.subscribers === 0) return false;
     if (!this.isRoot && this.parent === undefined) return false;
-    const patienceMs = this.isRoot ? ROOT_REBALANCE_MS : REBALANCE_MS;
-    return now - (this.misplacedSince ?? now) < patienceMs;
+    const delayMs = this.isRoot ? ROOT_REPOSITION_DELAY_MS : REPOSITION_DELAY_MS;
+    return now - (this.outOfPositionSince ?? now) < delayMs;
   }
 
   /**
-   * Becomes the root, unless another daemon still hears of one: then it is only this daemon that can't reach that root,
-   * and is fed by the other one.
+   * Becomes the root, unless another daemon still receives batches of one. In that case only this daemon
+   * can't reach the root, so it subscribes to the other daemon.
    */
   private async becomeRoot(): Promise<void> {
     const { self, cluster } = this.options;
-    if (this.isSeekingRoot) return;
-    const others = cluster.alive().filter((address) => address !== self && !this.isExcluded(address));
+    if (this.isRequestingRootAge) return;
+    const candidates = cluster.alive().filter((address) => address !== self && !this.isExcluded(address));
     const isFirst = cluster.alive()[0] === self;
-    const [witness] = others;
+    const [witness] = candidates;
     if (isFirst || witness === undefined) {
       this.attach(undefined);
       return;
     }
-    this.isSeekingRoot = true;
+    this.isRequestingRootAge = true;
     try {
       const ageMs = await cluster.request(witness, MessageType.RootAge, null, ROOT_AGE_TIMEOUT_MS);
-      this.attach(Number(ageMs) < FRESH_ROOT_MS ? witness : undefined);
+      this.attach(Number(ageMs) < MAX_ROOT_AGE_MS ? witness : undefined);
     } catch (err) {
-      this.options.log.debug(`${witness} does not say whether it hears of a root: ${String(err)}.`);
+      this.options.log.debug(`Could not get the age of the root from ${witness}: ${String(err)}.`);
       this.attach(undefined);
     } finally {
-      this.isSeekingRoot = false;
+      this.isRequestingRootAge = false;
     }
   }
 
@@ -454,12 +487,12 @@
 
   private attach(parent: string | undefined): void {
     this.detach();
-    this.misplacedSince = undefined;
+    this.outOfPositionSince = undefined;
     this.isRoot = parent === undefined;
     if (parent === undefined) {
-      this.options.log.debug('Is the root of the shared state.');
-      // What was on its way to the root before may be lost.
-      this.push({ ...this.signOfLife(), rows: this.topics.snapshot() });
+      this.options.log.debug('Became the root of the shared state.');
+      // Rows in transit to the previous root may be lost, so all rows are pushed.
+      this.push({ ...this.keepalive(), rows: this.topics.snapshot() });
       this.schedule(URGENT_BATCH_MS);
       return;
     }
@@ -473,39 +506,47 @@
     const subscription: Subscription = { rows: this.topics.snapshot(), upTo: view.upTo };
     const sentAt = timers.now();
     try {
-      const answer = await cluster.request(parent, MessageType.Subscribe, subscription, SUBSCRIBE_TIMEOUT_MS);
-      if (this.parent === parent) this.handleAnswer(answer as SubscriptionAnswer, sentAt);
+      const response = await cluster.request(
+        parent,
+        MessageType.Subscribe,
+        subscription,
+        SUBSCRIBE_TIMEOUT_MS,
+      );
+      if (this.parent === parent) this.handleSubscribed(response as SubscriptionResponse, sentAt);
     } catch (err) {
-      log.debug(`${parent} can't be subscribed to: ${String(err)}.`);
-      this.excludedUntil.set(parent, timers.now() + EXCLUSION_MS);
+      log.debug(`Could not subscribe to ${parent}: ${String(err)}.`);
+      this.excludedUntil.set(parent, timers.now() + PARENT_EXCLUSION_MS);
       if (this.parent === parent) this.parent = undefined;
     }
   }
 
-  private handleAnswer(
-    { rows, delta, recent, upTo, ageMs, clock }: SubscriptionAnswer,
+  private handleSubscribed(
+    { rows, delta, recent, upTo, ageMs, clock }: SubscriptionResponse,
     sentAt: number,
   ): void {
     const { view, timers, takeRecent } = this.options;
     this.isSubscribed = true;
-    this.heardAt = timers.now();
-    this.rootHeardAt = this.heardAt;
-    if (clock !== undefined) this.parentClock.noteExchange(sentAt, clock, this.heardAt);
-    const onWayMs =
-      clock === undefined ? Number.POSITIVE_INFINITY : this.parentClock.elapsedMs(clock, this.heardAt);
-    this.viewFeed.noteSent(upTo);
-    this.merge(rows);
+    this.parentBatchAt = timers.now();
+    this.rootBatchAt = this.parentBatchAt;
+    if (clock !== undefined) this.parentClock.recordExchange(sentAt, clock, this.parentBatchAt);
+    const transitMs =
+      clock === undefined
+        ? Number.POSITIVE_INFINITY
+        : this.parentClock.maxElapsedMs(clock, this.parentBatchAt);
+    this.viewFeed.markSent(upTo);
+    this.mergeFromParent(rows);
     for (const [replica, keys] of recent) takeRecent(replica, keys);
     if (delta !== undefined && delta !== null) view.apply(delta);
-    if (ageMs >= 0) view.confirm(upTo, ageMs + onWayMs);
-    // Those below this daemon may have missed more than it has: what it learnt in other ways is no news to it.
-    this.push({ ...this.signOfLife(), rows });
-    // What changed while the answer was on its way, and a newer view, go up.
+    if (ageMs >= 0) view.confirm(upTo, ageMs + transitMs);
+    // Subscribers may lack rows that this daemon already had from elsewhere, so all rows of the response are
+    // forwarded.
+    this.push({ ...this.keepalive(), rows });
+    // Sends up rows that changed while the response was in transit, and a newer view.
     this.schedule(UP_BATCH_MS);
   }
 }
 
-/** Whether a batch says nothing but that its sender lives, and how fresh the sender's view is. */
-function isSignOfLife({ beat, rows, delta }: Batch): boolean {
-  return beat === undefined && rows.length === 0 && delta === undefined;
+/** Whether a batch carries nothing but the age of its sender's view. */
+function isKeepalive({ rootSequence, rows, delta }: Batch): boolean {
+  return rootSequence === undefined && rows.length === 0 && delta === undefined;
 }
--- a/packages/routing/src/core/dissemination/types.ts
+++ b/packages/routing/src/core/dissemination/types.ts
@@ -1,37 +1,37 @@
-/** Types of the state that all daemons share. */
+/** Types of the shared state of all daemons. */
 
-/** Kinds of shared rows. */
+/** Topics of the shared state; the numbers are sent to other daemons. */
 export enum Topic {
   /** Members of the fleet. */
   Member = 1,
-  /** Which daemon owns which engine. */
+  /** Leases of engines. */
   EngineLease = 2,
   /** Free slots and requests in flight of an engine. */
   EngineLoad = 3,
-  /** Adapters resident on an engine. */
+  /** Adapters that are resident on an engine. */
   Residency = 4,
-  /** Starts of replicas that are not yet in the platform's view. */
+  /** Process starts of replicas that are not yet in the platform's view. */
   Start = 5,
-  /** Buckets of client accounts. */
+  /** Quota buckets of client accounts. */
   AccountQuota = 6,
-  /** Rates that replicas state. */
+  /** Rate limits that replicas state. */
   ReplicaLimit = 7,
 }
 
-/** How the rows of one topic are merged and written. */
+/** Merges and encodes the rows of one topic. */
 export interface TopicHandler<Row> {
-  /** Whether rows are sent without waiting for others to send along. */
+  /** Whether rows are sent almost at once instead of being collected for a batch. */
   readonly isUrgent: boolean;
-  /** Name of a row; a later row of the same name replaces one that waits to be sent. */
+  /** Key of a row; a later row of the same key replaces one that waits to be sent. */
   keyOf(row: Row): string;
   /**
-   * Takes a row that another daemon published.
-   * @returns Whether it was news.
+   * Merges a row that another daemon published.
+   * @returns Whether it changed the state of this daemon.
    */
   merge(row: Row): boolean;
-  /** All rows, for a daemon that has just subscribed. */
+  /** All rows, to exchange with a daemon on subscription. */
   snapshot(): readonly Row[];
-  /** Compact form of a row, as plain data. */
+  /** Encodes a row as compact plain data. */
   encode(row: Row): unknown;
   decode(wire: unknown): Row;
 }
--- a/packages/routing/src/core/dissemination/versioned-table.ts
+++ b/packages/routing/src/core/dissemination/versioned-table.ts
@@ -1,29 +1,28 @@
-/** Rows that the owners of engines publish, the latest of each engine. */
+/** Table of the rows that owners of engines publish, with the latest row of each engine. */
 
-/** What orders the rows of one engine: a later owner wins, then a later row of the same owner. */
+/** Version of an engine's row: a higher token wins, then a higher sequence number under the same token. */
 export interface EngineRow {
-  /** One start of a replica. */
+  /** Incarnation of the engine. */
   readonly replica: string;
-  /** Fencing token of the owner that published the row. */
+  /** Fencing token of the lease under which the owner published the row. */
   readonly token: number;
-  /** Raised by the owner with each row. */
+  /** Raised by the owner with each row that it publishes. */
   readonly sequence: number;
 }
 
-/** The latest row of each engine. */
+/** Keeps the latest row of each engine. */
 export class VersionedTable<Row extends EngineRow> {
   private readonly rows = new Map<string, Row>();
 
   /**
-   * Makes an empty table.
-   * @param isListed - Whether the registry lists an engine; rows of others are not passed on.
+   * Creates an empty table.
+   * @param isRegistered - Whether an engine is in the registry; snapshots leave out the rows of others.
    */
-  constructor(private readonly isListed: (replica: string) => boolean) {}
+  constructor(private readonly isRegistered: (replica: string) => boolean) {}
 
   /**
-   * Takes a row.
-   * @param row - The row.
-   * @returns Whether it was news.
+   * Merges a row.
+   * @returns Whether it is later than the known row and replaced it.
    */
   merge(row: Row): boolean {
     const known = this.rows.get(row.replica);
@@ -32,24 +31,17 @@
     return true;
   }
 
-  /**
-   * Finds the row of an engine.
-   * @param replica - The engine.
-   * @returns The latest row, or undefined.
-   */
+  /** Latest row of an engine, if there is one. */
   get(replica: string): Row | undefined {
     return this.rows.get(replica);
   }
 
-  /** Rows of all listed engines. */
+  /** Rows of all engines in the registry. */
   snapshot(): Row[] {
-    return [...this.rows.values()].filter(({ replica }) => this.isListed(replica));
+    return [...this.rows.values()].filter(({ replica }) => this.isRegistered(replica));
   }
 
-  /**
-   * Forgets an engine that is gone.
-   * @param replica - The engine.
-   */
+  /** Removes the row of an engine that no longer exists. */
   forget(replica: string): void {
     this.rows.delete(replica);
   }
--- a/packages/routing/src/core/dissemination/view-feed.ts
+++ b/packages/routing/src/core/dissemination/view-feed.ts
@@ -1,4 +1,4 @@
-/** Carries the platform's view along with the batches of shared state. */
+/** Replicates the platform's view between daemons with the batches of shared state. */
 import type { DecisionLog } from '@celeryyoke/core';
 
 import type { Cluster } from '../cluster/index.js';
@@ -6,35 +6,39 @@
 import type { Delta, ReplicatedStore } from '../view/index.js';
 import type { Batch, ViewAge } from './batch.js';
 
-/** Longest wait for changes that a peer is asked for, in milliseconds. */
-const ASK_TIMEOUT_MS = 1000;
+/** Timeout of a request for missing changes, in milliseconds. */
+const FETCH_TIMEOUT_MS = 1000;
 
-/** What the feed uses of the daemon. */
+/** Options of {@link ViewFeed}. */
 export interface ViewFeedOptions {
   readonly view: ReplicatedStore;
   readonly cluster: Pick<Cluster, 'request'>;
   readonly log: DecisionLog;
 }
 
-/** The platform's view on its way between daemons. */
+/**
+ * Tracks which changes of the view this daemon has sent to whom, and merges changes and confirmations that it
+ * receives. Changes that are missing are requested from the parent.
+ */
 export class ViewFeed {
-  /** Revision up to which those that this daemon sends to have the view: its parent, or those below a root. */
+  /**
+   * Revision up to which the receivers of this daemon's batches have the view: its parent, or the root's
+   * subscribers.
+   */
   private sentUpTo = 0;
 
-  /** Revision up to which those below this daemon were sent the view, whoever found the changes. */
-  private passedUpTo = 0;
-
-  private isAsking = false;
-
   /**
-   * Makes a feed that has sent nothing.
-   * @param options - The view and the peers.
+   * Revision up to which the view was sent to this daemon's subscribers, whichever daemon read the changes.
    */
+  private forwardedUpTo = 0;
+
+  private isFetching = false;
+
   constructor(private readonly options: ViewFeedOptions) {}
 
   /**
-   * Tells how fresh this daemon's view is.
-   * @param clock - Time of telling it; see {@link ViewAge.clock}.
+   * Returns the age of this daemon's view.
+   * @param clock - Time of sending; see {@link ViewAge.clock}.
    */
   age(clock: number | undefined): ViewAge {
     const { view } = this.options;
@@ -42,7 +46,7 @@
   }
 
   /**
-   * Takes the changes out that have not been sent.
+   * Returns the changes that have not been sent in batches of this daemon, and marks them as sent.
    * @returns The changes, or undefined when there are none.
    */
   takeUnsent(): Delta | undefined {
@@ -54,74 +58,72 @@
   }
 
   /**
-   * Takes the changes out that have not been sent to those below.
+   * Returns the changes that have not been sent to subscribers, and marks them as sent.
    * @returns The changes, or undefined when there are none.
    */
-  takeUnpassed(): Delta | undefined {
+  takeUnforwarded(): Delta | undefined {
     const { view } = this.options;
-    if (view.upTo <= this.passedUpTo) return undefined;
-    const delta = view.since(this.passedUpTo);
-    this.passedUpTo = view.upTo;
+    if (view.upTo <= this.forwardedUpTo) return undefined;
+    const delta = view.since(this.forwardedUpTo);
+    this.forwardedUpTo = view.upTo;
     return delta;
   }
 
   /**
-   * Notes that those below were sent the view.
-   * @param upTo - Up to this revision.
+   * Records that the view was sent to the subscribers.
+   * @param upTo - Revision up to which it was sent.
    */
-  notePassed(upTo: number): void {
-    this.passedUpTo = Math.max(this.passedUpTo, upTo);
+  markForwarded(upTo: number): void {
+    this.forwardedUpTo = Math.max(this.forwardedUpTo, upTo);
   }
 
   /**
-   * Notes that those that this daemon sends to have the view.
-   * @param upTo - Up to this revision.
+   * Records that the receivers of this daemon's batches have the view.
+   * @param upTo - Revision up to which they have it.
    */
-  noteSent(upTo: number): void {
+  markSent(upTo: number): void {
     this.sentUpTo = upTo;
   }
 
   /**
-   * Takes what came with a batch from below.
-   * @param batch - The batch.
-   * @param onWayMs - How long it was on its way, in milliseconds.
-   * @returns Whether the view is newer for it.
+   * Merges the view in a batch from a subscriber.
+   * @param transitMs - Time that the batch was in transit, in milliseconds.
+   * @returns Whether this daemon's view has advanced to a later revision.
    */
-  takeFromBelow(batch: Batch, onWayMs: number): boolean {
+  mergeFromChild(batch: Batch, transitMs: number): boolean {
     const { upTo } = this.options.view;
-    this.take(batch, onWayMs, undefined);
+    this.merge(batch, transitMs, undefined);
     return this.options.view.upTo > upTo;
   }
 
   /**
-   * Takes what came with a batch from the parent, and asks it for what is missing before.
-   * @param batch - The batch.
-   * @param onWayMs - How long it was on its way, in milliseconds.
-   * @param parent - Who sent it.
+   * Merges the view in a batch from the parent, and requests changes that are missing before it.
+   * @param transitMs - Time that the batch was in transit, in milliseconds.
+   * @param parent - Address of the parent.
    */
-  takeFromAbove(batch: Batch, onWayMs: number, parent: string): void {
+  mergeFromParent(batch: Batch, transitMs: number, parent: string): void {
     this.sentUpTo = Math.max(this.sentUpTo, batch.upTo);
-    this.take(batch, onWayMs, parent);
+    this.merge(batch, transitMs, parent);
   }
 
-  private take({ delta, upTo, ageMs }: Batch, onWayMs: number, source: string | undefined): void {
+  private merge({ delta, upTo, ageMs }: Batch, transitMs: number, source: string | undefined): void {
     const { view } = this.options;
-    const isTaken = delta === undefined || view.apply(delta);
-    if (source !== undefined && (!isTaken || upTo > view.upTo)) void this.ask(source);
-    if (ageMs >= 0) view.confirm(upTo, ageMs + onWayMs);
+    const isApplied = delta === undefined || view.apply(delta);
+    if (source !== undefined && (!isApplied || upTo > view.upTo)) void this.fetchMissing(source);
+    if (ageMs >= 0) view.confirm(upTo, ageMs + transitMs);
   }
 
-  private async ask(source: string): Promise<void> {
+  private async fetchMissing(source: string): Promise<void> {
     const { cluster, view, log } = this.options;
-    if (this.isAsking) return;
-    this.isAsking = true;
+    if (this.isFetching) return;
+    this.isFetching = true;
     try {
-      const delta = await cluster.request(source, MessageType.ViewChanges, view.upTo, ASK_TIMEOUT_MS);
+      const delta = await cluster.request(source, MessageType.ViewChanges, view.upTo, FETCH_TIMEOUT_MS);
       view.apply(delta as Delta);
     } catch (err) {
-      log.debug(`No changes of the view from ${source}: ${String(err)}.`);
+      log.debug(`Could not fetch changes of the view from ${source}: ${String(err)}.`);
     } finally {
-      this.isAsking = false;
+      this.isFetching = false;
     }
   }
 }
