--- a/packages/routing/src/core/cluster/cluster.ts
+++ b/packages/routing/src/core/cluster/cluster.ts
@@ -1,9 +1,10 @@
 /**
- * Membership of the fleet, and the links between daemons.
+ * Membership of the fleet, and messages between daemons.
  *
- * Each daemon finds the others through a few seeds and probes only its successors on a ring of all members; what it
- * finds out is published to the fleet. Links to other daemons are opened when there is something to say and closed
- * when they are idle. So the cost of an idle daemon does not grow with the fleet.
+ * Each daemon finds the others through a few seeds and probes only its successors on a ring of all members.
+ * Changes of membership that it detects are published to the fleet. Links, the connections that a daemon
+ * opens to its peers, are opened on demand and closed when idle. The cost of an idle daemon therefore does
+ * not grow with the fleet.
  */
 import type { DecisionLog, TimerHandle, TimerService } from '@celeryyoke/core';
 
@@ -24,75 +25,88 @@
 
 /** Interval of heartbeats to probed members, in milliseconds. */
 const HEARTBEAT_MS = 400;
-/** Members that each daemon probes. */
-const PROBED_MEMBERS = 3;
+/** Number of members that each daemon probes. */
+const MIN_PROBE_COUNT = 3;
 /**
- * Most members that are probed at once. While half of those probed are silent the number grows, so that a daemon on
- * the small side of a partition learns within a few seconds that it is there.
+ * Most members that a daemon probes at once. The number grows while at least half of the probed members are
+ * silent, so that a daemon in the minority of a partition detects this within a few seconds.
  */
-const MAX_PROBED_MEMBERS = 96;
-const PROBING_GROWTH = 4;
-/** Pause between two tries to reach a member that is down, in milliseconds. */
-const REDIAL_MS = 500;
-/** Pause before a link that ended is made again, in milliseconds. */
-const RETRY_MS = 5;
-/** Time after which a link that carries nothing but heartbeats of the past is closed, in milliseconds. */
+const MAX_PROBE_COUNT = 96;
+/** Factor by which the number of probed members grows with each heartbeat interval. */
+const PROBE_COUNT_GROWTH = 4;
+/** Delay before an address is dialled again after a connection could not be established, in milliseconds. */
+const REDIAL_DELAY_MS = 500;
+/** Delay before an established link that the peer closed or reset is opened again, in milliseconds. */
+const RECONNECT_DELAY_MS = 5;
+/** Time without messages after which a link to a member that is not probed is closed, in milliseconds. */
 const IDLE_LINK_MS = 10_000;
-/** Time after which a member that ended is forgotten, in milliseconds. */
-const FORGET_MS = 60_000;
-/** Time for which a probed daemon may know other members before the tables are exchanged, in milliseconds. */
-const DIFFERENCE_MS = 2000;
-/** Longest wait for a seed's members, in milliseconds. */
+/** Time for which the record of an ended member is retained, in milliseconds. */
+const ENDED_RETENTION_MS = 60_000;
+/**
+ * Time for which the members of a probed daemon may differ before the tables are exchanged, in milliseconds.
+ */
+const DIGEST_MISMATCH_DELAY_MS = 2000;
+/** Timeout of an exchange of member tables, in milliseconds. */
 const JOIN_TIMEOUT_MS = 1000;
-/** Pauses between two tries to join a seed that is not alive, in milliseconds: at first, and at last. */
-const FIRST_JOIN_PAUSE_MS = 100;
-const LAST_JOIN_PAUSE_MS = 5000;
-/** Time after the start in which seeds are tried without longer pauses, in milliseconds: all may be starting. */
-const JOINING_MS = 2000;
+/** Shortest delay between two attempts to join a seed that is not alive, in milliseconds. */
+const MIN_JOIN_BACKOFF_MS = 100;
+/** Longest delay between two such attempts, in milliseconds. */
+const MAX_JOIN_BACKOFF_MS = 5000;
+/**
+ * Time after the start in which the delay between such attempts doesn't grow, in milliseconds: all may be
+ * starting.
+ */
+const STARTUP_JOIN_MS = 2000;
 
-/** Options of the cluster. */
+/** Options of {@link Cluster}. */
 export interface ClusterOptions {
   readonly self: Member;
+  /** Addresses of the daemons to join first; may change while the daemon runs. */
   readonly seeds: () => readonly string[];
   readonly timers: TimerService;
   readonly transport: PeerTransport;
   readonly log: DecisionLog;
-  /** Called when something became known of a member; publishes it to the fleet. */
+  /** Called with each change of a member's record, to publish it to the fleet. */
   readonly onChange: MemberListener;
 }
 
-/** Attempts to reach one address. */
-interface Outgoing {
+/** The link to one address, if there is one, and when to open one. */
+interface OutgoingLink {
   link: PeerLink | undefined;
-  /** Monotonic time before which it is not dialled by itself. */
+  /** Monotonic time before which probes, and messages to a silent member, do not dial it, in milliseconds. */
   dialAt: number;
 }
 
-/** Two daemons that know different members. */
-interface Difference {
-  /** Both digests. */
+/** A difference between the members that this daemon and a peer know. */
+interface DigestMismatch {
+  /** Digests of the peer and of this daemon. */
   readonly digests: string;
-  /** Monotonic time since which they are these, in milliseconds. */
+  /** Monotonic time since which both digests are unchanged, in milliseconds. */
   readonly since: number;
 }
 
-interface SeedAttempts {
-  pauseMs: number;
+/** Backoff of the attempts to join a seed. */
+interface JoinBackoff {
+  delayMs: number;
+  /** Monotonic time of the next attempt, in milliseconds. */
   nextAt: number;
 }
 
-/** The members that this daemon knows, and its links to them. */
+/**
+ * Tracks the members of the fleet and exchanges messages with them: probes members, opens and closes links,
+ * and dispatches messages of peers to registered handlers.
+ */
 export class Cluster {
   private readonly members: MemberTable;
 
-  private readonly outgoing = new Map<string, Outgoing>();
+  private readonly outgoingLinks = new Map<string, OutgoingLink>();
 
   private readonly handlers = new Map<MessageType, MessageHandler>();
 
-  private readonly seedAttempts = new Map<string, SeedAttempts>();
+  private readonly joinBackoffs = new Map<string, JoinBackoff>();
 
-  /** Probed daemons that know other members than this one. */
-  private readonly differences = new Map<string, Difference>();
+  /** Probed daemons whose digest differs from this daemon's, by address. */
+  private readonly digestMismatches = new Map<string, DigestMismatch>();
 
   private readonly memberListeners: MemberListener[] = [];
 
@@ -102,19 +116,19 @@
 
   private pushHandler: ((from: string, body: unknown) => void) | undefined;
 
-  private probedMembers = PROBED_MEMBERS;
+  private probeCount = MIN_PROBE_COUNT;
 
   private stopListening: (() => void) | undefined;
 
-  private ticking: TimerHandle | undefined;
+  private tickTimer: TimerHandle | undefined;
 
-  private joining: TimerHandle | undefined;
+  private joinTimer: TimerHandle | undefined;
 
   private isClosing = false;
 
   /**
-   * Makes a cluster that has not started.
-   * @param options - Who this daemon is, and whom to ask first.
+   * Creates a cluster; {@link Cluster.start} begins to listen and to probe.
+   * @param options - This daemon, its seeds and how to connect to others.
    */
   constructor(private readonly options: ClusterOptions) {
     const { self, timers, onChange } = options;
@@ -126,158 +140,151 @@
         for (const listener of this.memberListeners) listener(record, before);
       },
     );
-    this.handle(MessageType.Join, (_from, frames: MemberFrame[]) => this.exchange(frames));
+    this.handle(MessageType.Join, (_from, frames: MemberFrame[]) => this.handleJoin(frames));
   }
 
-  /**
-   * Registers the handler of a type of message.
-   * @param type - The type.
-   * @param handler - Called with the sender and the body.
-   */
+  /** Registers the handler for a type of message; it replaces an earlier one. */
   handle(type: MessageType, handler: MessageHandler): void {
     this.handlers.set(type, handler);
   }
 
   /**
-   * Registers the handler of what peers push over links that this daemon has opened.
-   * @param handler - Called with the peer's address and the body.
+   * Registers the handler for messages that peers push over links that this daemon has opened.
+   * @param handler - Called with the address of the peer and the body.
    */
   handlePush(handler: (from: string, body: unknown) => void): void {
     this.pushHandler = handler;
   }
 
   /**
-   * Subscribes to what becomes known of members.
-   * @param listener - Called with the record of a member and the one before it.
+   * Subscribes to changes of members.
+   * @param listener - Called with the new record of a member and the one before it.
    */
   onMemberChange(listener: MemberListener): void {
     this.memberListeners.push(listener);
   }
 
   /**
-   * Subscribes to ends of links that this daemon had opened.
-   * @param listener - Called with the peer's address.
+   * Subscribes to links of this daemon that end or can't be established.
+   * @param listener - Called with the address of the peer.
    */
   onLinkEnd(listener: (address: string) => void): void {
     this.linkEndListeners.push(listener);
   }
 
   /**
-   * Subscribes to ends of connections that peers had opened.
-   * @param listener - Called with the channel that is closed.
+   * Subscribes to connections of peers that are closed.
+   * @param listener - Called with the channel of the connection.
    */
   onChannelClose(listener: (channel: PeerChannel) => void): void {
     this.channelCloseListeners.push(listener);
   }
 
-  /** Starts to listen, to join and to probe. */
+  /** Starts listening, joining seeds and probing. */
   async start(): Promise<void> {
     const { transport, timers, log } = this.options;
     this.stopListening = await transport.listen({
       digest: () => this.members.digest(),
       onHello: (body) => this.handleHello(decodeMember(body as MemberFrame)),
-      onMessage: (peer, type, body, channel) => this.receive(peer, type, body, channel),
-      onClose: (peer, channel, isOrderly) => this.handleClose(peer, channel, isOrderly),
-      onProblem: (peer, err) => log.debug(`Connection of ${peer ?? 'an unknown peer'}: ${err.message}.`),
+      onMessage: (peer, type, body, channel) => this.dispatch(peer, type, body, channel),
+      onClose: (peer, channel, isOrderly) => this.handleChannelClose(peer, channel, isOrderly),
+      onProblem: (peer, err) =>
+        log.debug(`Connection from ${peer ?? 'an unknown peer'} failed: ${err.message}.`),
     });
     const startedAt = timers.now();
     this.tick();
-    this.ticking = timers.repeat(HEARTBEAT_MS, () => this.tick());
-    this.joining = timers.repeat(FIRST_JOIN_PAUSE_MS, (now) => {
+    this.tickTimer = timers.repeat(HEARTBEAT_MS, () => this.tick());
+    this.joinTimer = timers.repeat(MIN_JOIN_BACKOFF_MS, (now) => {
       this.joinSeeds(now, true);
-      if (now - startedAt > JOINING_MS) this.joining?.cancel();
+      if (now - startedAt > STARTUP_JOIN_MS) this.joinTimer?.cancel();
     });
   }
 
-  /** Tells the fleet that this daemon is shutting down; its links stay for the requests that it still serves. */
+  /**
+   * Publishes that this daemon is shutting down; its links stay open for the requests that it still serves.
+   */
   leave(): void {
     this.members.leave();
   }
 
-  /** Closes all links. */
+  /** Stops probing and listening, and closes all connections. */
   close(): void {
     if (this.isClosing) return;
     this.isClosing = true;
-    this.ticking?.cancel();
-    this.joining?.cancel();
-    for (const { link } of this.outgoing.values()) link?.close();
+    this.tickTimer?.cancel();
+    this.joinTimer?.cancel();
+    for (const { link } of this.outgoingLinks.values()) link?.close();
     this.stopListening?.();
   }
 
-  /** Addresses of the living members in a fixed order, this daemon included. */
+  /** Sorted addresses of the living members, this daemon included. */
   alive(): readonly string[] {
     return this.members.alive();
   }
 
-  /** Members that may be running: those that are alive and those that are silent, this daemon included. */
+  /** Number of members that may be running, this daemon included: those that are alive or silent. */
   possible(): number {
-    return this.members.possible();
+    return this.members.aliveOrSilentCount();
   }
 
-  /** A number that two daemons share when they know the same of all members that have not ended. */
+  /** Digest of the records of all members that have not ended; equal on daemons with the same records. */
   digest(): number {
     return this.members.digest();
   }
 
-  /** All that is known of the members. */
+  /** Records of all known members, ended ones included. */
   records(): MemberRecord[] {
     return this.members.records();
   }
 
-  /**
-   * Finds a member.
-   * @param address - Its name.
-   * @returns Its record, or undefined.
-   */
+  /** Record of a member, if it is known. */
   member(address: string): MemberRecord | undefined {
     return this.members.get(address);
   }
 
   /**
-   * Tells the state of a member.
-   * @param address - Its name.
-   * @returns The state; an unknown one counts as ended.
+   * Returns the state of a member.
+   * @returns The state; an unknown member counts as ended.
    */
   state(address: string): MemberState {
     return this.members.get(address)?.state ?? MemberState.Ended;
   }
 
   /**
-   * Tells how long a member has not been alive.
-   * @param address - Its name.
-   * @returns Milliseconds; 0 when it is alive, Infinity when it was never known.
+   * Returns the time since a member was last alive.
+   * @returns Milliseconds; 0 when it is alive, Infinity when it is not known.
    */
   downForMs(address: string): number {
     return this.members.downForMs(address);
   }
 
-  /** Links that this daemon has opened and that are up. */
+  /** Number of established links of this daemon. */
   get links(): number {
     let count = 0;
-    for (const { link } of this.outgoing.values()) if (link?.isUp) count += 1;
+    for (const { link } of this.outgoingLinks.values()) if (link?.isUp) count += 1;
     return count;
   }
 
-  /** Time since anything was heard over a link of this daemon, in milliseconds; Infinity when there is none. */
+  /**
+   * Time since bytes were received over any established link, in milliseconds; Infinity when there is none.
+   */
   heardAgoMs(): number {
-    let heardAt = Number.NEGATIVE_INFINITY;
-    for (const { link } of this.outgoing.values()) if (link?.isUp) heardAt = Math.max(heardAt, link.heardAt);
-    return this.options.timers.now() - heardAt;
+    let lastReceivedAt = Number.NEGATIVE_INFINITY;
+    for (const { link } of this.outgoingLinks.values())
+      if (link?.isUp) lastReceivedAt = Math.max(lastReceivedAt, link.lastReceivedAt);
+    return this.options.timers.now() - lastReceivedAt;
   }
 
   /**
-   * Takes what another daemon says of a member.
-   * @param record - Its record.
-   * @returns Whether it was news.
+   * Merges a record that another daemon published.
+   * @returns Whether it changed the member table.
    */
   merge(record: MemberRecord): boolean {
     return this.members.merge(record);
   }
 
   /**
-   * Sends a message to one member.
-   * @param address - Its name.
-   * @param type - Its type.
+   * Sends a message without a response to a member. It is dropped when the member can't be reached.
    * @param body - Plain data.
    */
   send(address: string, type: MessageType, body: unknown): void {
@@ -285,13 +292,10 @@
   }
 
   /**
-   * Asks one member.
-   * @param address - Its name.
-   * @param type - Type of the message.
+   * Sends a request to a member and waits for its response.
    * @param body - Plain data.
-   * @param timeoutMs - Longest wait.
-   * @returns Its answer.
-   * @throws Error when it can't be reached or does not answer in time.
+   * @returns Body of the response.
+   * @throws Error when the member can't be reached, its handler fails or no response arrives in time.
    */
   request(address: string, type: MessageType, body: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.linkTo(address);
@@ -301,115 +305,116 @@
   private tick(): void {
     const now = this.options.timers.now();
     this.joinSeeds(now, this.alive().length === 1);
-    const targets = this.members.successors(this.probedMembers);
+    const targets = this.members.successors(this.probeCount);
     for (const target of targets) this.probe(target, now);
-    this.adjustProbing(targets);
+    this.adjustProbeCount(targets);
     this.closeIdle(targets, now);
-    this.members.forgetEnded(FORGET_MS);
+    this.members.removeEnded(ENDED_RETENTION_MS);
   }
 
-  private adjustProbing(targets: readonly MemberRecord[]): void {
-    const silent = targets.filter(({ state }) => state === MemberState.Silent).length;
-    const isMostlySilent = silent > 0 && silent * 2 >= targets.length;
-    this.probedMembers = isMostlySilent
-      ? Math.min(MAX_PROBED_MEMBERS, this.probedMembers * PROBING_GROWTH)
-      : PROBED_MEMBERS;
+  private adjustProbeCount(targets: readonly MemberRecord[]): void {
+    const silentCount = targets.filter(({ state }) => state === MemberState.Silent).length;
+    const isMostlySilent = silentCount > 0 && silentCount * 2 >= targets.length;
+    this.probeCount = isMostlySilent
+      ? Math.min(MAX_PROBE_COUNT, this.probeCount * PROBE_COUNT_GROWTH)
+      : MIN_PROBE_COUNT;
   }
 
   private probe(target: MemberRecord, now: number): void {
-    const { link, dialAt } = this.outgoingTo(target.address);
+    const { link, dialAt } = this.outgoingLinkTo(target.address);
     if (link === undefined) {
       if (now >= dialAt) this.dial(target.address);
       return;
     }
-    // One that answers and is held for silent must hear of it, so that it refutes it.
-    if (target.state === MemberState.Silent && link.isUp) void this.join(target.address);
+    // A member that is known as silent but reachable must receive that record, so that it can refute it.
+    if (target.state === MemberState.Silent && link.isUp) void this.syncMembers(target.address);
     link.heartbeat();
   }
 
   private closeIdle(targets: readonly MemberRecord[], now: number): void {
     const probed = new Set(targets.map(({ address }) => address));
-    for (const [address, { link, dialAt }] of this.outgoing) {
-      if (probed.has(address) || now - Math.max(dialAt, link?.usedAt ?? 0) < IDLE_LINK_MS) continue;
+    for (const [address, { link, dialAt }] of this.outgoingLinks) {
+      if (probed.has(address) || now - Math.max(dialAt, link?.lastUsedAt ?? 0) < IDLE_LINK_MS) continue;
       link?.close();
-      this.outgoing.delete(address);
+      this.outgoingLinks.delete(address);
     }
   }
 
-  private joinSeeds(now: number, isHurried: boolean): void {
-    for (const seed of this.options.seeds()) this.joinSeed(seed, now, isHurried);
+  private joinSeeds(now: number, isUrgent: boolean): void {
+    for (const seed of this.options.seeds()) this.joinSeed(seed, now, isUrgent);
   }
 
-  private joinSeed(seed: string, now: number, isHurried: boolean): void {
+  private joinSeed(seed: string, now: number, isUrgent: boolean): void {
     if (seed === this.options.self.address || this.state(seed) === MemberState.Alive) {
-      this.seedAttempts.delete(seed);
+      this.joinBackoffs.delete(seed);
       return;
     }
-    const attempts = this.seedAttempts.get(seed) ?? { pauseMs: FIRST_JOIN_PAUSE_MS, nextAt: now };
-    this.seedAttempts.set(seed, attempts);
-    if (now < attempts.nextAt) return;
-    attempts.pauseMs = isHurried ? FIRST_JOIN_PAUSE_MS : Math.min(LAST_JOIN_PAUSE_MS, attempts.pauseMs * 2);
-    attempts.nextAt = now + attempts.pauseMs;
-    void this.join(seed);
+    const backoff = this.joinBackoffs.get(seed) ?? { delayMs: MIN_JOIN_BACKOFF_MS, nextAt: now };
+    this.joinBackoffs.set(seed, backoff);
+    if (now < backoff.nextAt) return;
+    backoff.delayMs = isUrgent ? MIN_JOIN_BACKOFF_MS : Math.min(MAX_JOIN_BACKOFF_MS, backoff.delayMs * 2);
+    backoff.nextAt = now + backoff.delayMs;
+    void this.syncMembers(seed);
   }
 
-  /** Exchanges the known members with a daemon. */
-  private async join(address: string): Promise<void> {
+  /** Exchanges the member tables with a daemon. */
+  private async syncMembers(address: string): Promise<void> {
     try {
       const link = this.linkTo(address, true);
       const known = this.members.records().map(encodeMember);
-      const answer = await link?.request(MessageType.Join, known, JOIN_TIMEOUT_MS);
-      for (const frame of (answer ?? []) as MemberFrame[]) this.members.merge(decodeMember(frame));
+      const response = await link?.request(MessageType.Join, known, JOIN_TIMEOUT_MS);
+      for (const frame of (response ?? []) as MemberFrame[]) this.members.merge(decodeMember(frame));
     } catch (err) {
-      this.options.log.debug(`${address} could not be joined: ${String(err)}.`);
+      this.options.log.debug(`Could not exchange members with ${address}: ${String(err)}.`);
     }
   }
 
-  private exchange(frames: readonly MemberFrame[]): MemberFrame[] {
+  private handleJoin(frames: readonly MemberFrame[]): MemberFrame[] {
     for (const frame of frames) this.members.merge(decodeMember(frame));
     return this.members.records().map(encodeMember);
   }
 
   /**
-   * Exchanges the members with a daemon that has known others for a while. News travel over the shared state; this mends
-   * what was missed there, whoever is cut off from its root.
+   * Exchanges the member tables with a probed daemon whose members have differed for a while. Changes
+   * normally spread through the shared state; this repairs what was missed there, also when a daemon is cut
+   * off from the root.
    */
-  private compare(address: string, digest: number): void {
-    const own = this.members.digest();
-    if (digest === own) {
-      this.differences.delete(address);
+  private compareDigest(address: string, digest: number): void {
+    const ownDigest = this.members.digest();
+    if (digest === ownDigest) {
+      this.digestMismatches.delete(address);
       return;
     }
     const now = this.options.timers.now();
-    const digests = `${digest} ${own}`;
-    const known = this.differences.get(address);
-    if (known?.digests !== digests) this.differences.set(address, { digests, since: now });
-    else if (now - known.since >= DIFFERENCE_MS) {
-      this.differences.delete(address);
-      void this.join(address);
+    const digests = `${digest} ${ownDigest}`;
+    const mismatch = this.digestMismatches.get(address);
+    if (mismatch?.digests !== digests) this.digestMismatches.set(address, { digests, since: now });
+    else if (now - mismatch.since >= DIGEST_MISMATCH_DELAY_MS) {
+      this.digestMismatches.delete(address);
+      void this.syncMembers(address);
     }
   }
 
-  private outgoingTo(address: string): Outgoing {
-    const known = this.outgoing.get(address);
+  private outgoingLinkTo(address: string): OutgoingLink {
+    const known = this.outgoingLinks.get(address);
     if (known !== undefined) return known;
-    const made: Outgoing = { link: undefined, dialAt: 0 };
-    this.outgoing.set(address, made);
-    return made;
+    const created: OutgoingLink = { link: undefined, dialAt: 0 };
+    this.outgoingLinks.set(address, created);
+    return created;
   }
 
   /**
-   * Finds or opens the link to a peer.
-   * @param address - Its address.
-   * @param isForced - Whether to dial also a member that is not known to run.
+   * Returns the link to a peer, and opens one if there is none.
+   * @param isForced - Whether to dial even a member that has ended, or a silent one before its delay is over.
+   * @returns Undefined when the peer is not dialled.
    */
   private linkTo(address: string, isForced = false): PeerLink | undefined {
-    const outgoing = this.outgoingTo(address);
-    if (outgoing.link === undefined && (isForced || this.mayBeReached(address, outgoing))) this.dial(address);
+    const outgoing = this.outgoingLinkTo(address);
+    if (outgoing.link === undefined && (isForced || this.isDialable(address, outgoing))) this.dial(address);
     return outgoing.link;
   }
 
-  private mayBeReached(address: string, { dialAt }: Outgoing): boolean {
+  private isDialable(address: string, { dialAt }: OutgoingLink): boolean {
     const state = this.state(address);
     if (state === MemberState.Ended) return false;
     return state !== MemberState.Silent || this.options.timers.now() >= dialAt;
@@ -421,44 +426,45 @@
     const events: LinkEvents = {
       hello: () => encodeMember(this.members.self),
       onPush: (body) => this.pushHandler?.(address, body),
-      onDigest: (digest) => this.compare(address, digest),
-      onEnd: (end, wasUp) => this.handleEnd(address, end, wasUp),
+      onDigest: (digest) => this.compareDigest(address, digest),
+      onEnd: (end, wasUp) => this.handleLinkEnd(address, end, wasUp),
     };
-    this.outgoingTo(address).link = transport.connect(address, events);
+    this.outgoingLinkTo(address).link = transport.connect(address, events);
   }
 
   /**
-   * A link that was up says little when it ends, as connections are reset also between living daemons: the next try
-   * shows whether the process still runs.
+   * Updates the state of the peer by the way in which a link ended. The end of an established link shows
+   * little, as connections between living daemons are reset too: dialling again shows whether the process
+   * still runs.
    */
-  private handleEnd(address: string, end: LinkEnd, wasUp: boolean): void {
+  private handleLinkEnd(address: string, end: LinkEnd, wasUp: boolean): void {
     const { timers } = this.options;
-    const outgoing = this.outgoingTo(address);
+    const outgoing = this.outgoingLinkTo(address);
     outgoing.link = undefined;
-    outgoing.dialAt = timers.now() + (wasUp ? 0 : REDIAL_MS);
-    if (end === LinkEnd.Refused) this.members.declare(address, MemberState.Ended);
-    else if (end === LinkEnd.Silent) this.members.declare(address, MemberState.Silent);
-    if (wasUp && end === LinkEnd.Closed) timers.after(RETRY_MS, () => this.linkTo(address));
+    outgoing.dialAt = timers.now() + (wasUp ? 0 : REDIAL_DELAY_MS);
+    if (end === LinkEnd.Refused) this.members.setState(address, MemberState.Ended);
+    else if (end === LinkEnd.Silent) this.members.setState(address, MemberState.Silent);
+    if (wasUp && end === LinkEnd.Closed) timers.after(RECONNECT_DELAY_MS, () => this.linkTo(address));
     for (const listener of this.linkEndListeners) listener(address);
   }
 
-  /** A connection that ends without a goodbye may tell the end of its process: dial to learn that. */
-  private handleClose(address: string, channel: PeerChannel, isOrderly: boolean): void {
+  /** Dials a peer whose connection closed without a goodbye, to find out whether its process has ended. */
+  private handleChannelClose(address: string, channel: PeerChannel, isOrderly: boolean): void {
     for (const listener of this.channelCloseListeners) listener(channel);
     if (!isOrderly && !this.isClosing && this.state(address) !== MemberState.Ended) this.linkTo(address);
   }
 
-  private handleHello(said: MemberRecord): string {
-    if (said.address === this.options.self.address)
-      throw new Error('A daemon spoke with this one’s own address.');
-    this.members.merge(said);
-    // It does not know what is said of it.
-    if (said.state === MemberState.Alive && this.state(said.address) !== MemberState.Alive)
-      void this.join(said.address);
-    return said.address;
+  private handleHello(record: MemberRecord): string {
+    if (record.address === this.options.self.address)
+      throw new Error('The hello of a peer carries this daemon’s own address.');
+    this.members.merge(record);
+    // The peer doesn't know that it counts as not alive; the exchange lets it refute that.
+    if (record.state === MemberState.Alive && this.state(record.address) !== MemberState.Alive)
+      void this.syncMembers(record.address);
+    return record.address;
   }
 
-  private receive(address: string, type: MessageType, body: unknown, channel: PeerChannel): unknown {
+  private dispatch(address: string, type: MessageType, body: unknown, channel: PeerChannel): unknown {
     const member = this.members.get(address);
     if (member === undefined) return undefined;
     return this.handlers.get(type)?.(member, body as never, channel);
--- a/packages/routing/src/core/cluster/index.ts
+++ b/packages/routing/src/core/cluster/index.ts
@@ -1,4 +1,4 @@
-/** Membership of the fleet, and messages between daemons. */
+/** Membership of the fleet, and connections and messages between daemons. */
 export type { ClusterOptions } from './cluster.js';
 export { Cluster } from './cluster.js';
 export { encodeFrame, encodePush, FrameReader } from './frames.js';
--- a/packages/routing/src/core/cluster/link.ts
+++ b/packages/routing/src/core/cluster/link.ts
@@ -1,53 +1,57 @@
-/** The TCP link to one peer: connects, sends, and matches answers to requests. */
+/** The link to one peer over TCP: connects, sends messages, and matches responses to requests. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 import { connect, type Socket } from 'node:net';
 
-import { encodeFrame, FrameReader, HEARTBEAT_NUMBER, PUSH_NUMBER } from './frames.js';
+import { encodeFrame, FrameReader, HEARTBEAT_ID, PUSH_ID } from './frames.js';
 import type { LinkEvents, PeerLink } from './types.js';
 import { LinkEnd, MessageType } from './types.js';
 
-/** Longest time to set up a link, in milliseconds. */
+/** Timeout for establishing the connection, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 600;
-/** Bytes that may wait for a peer that does not read before the link is cut. */
+/** Bytes that may be buffered for a peer that does not read before the link is ended. */
 const MAX_BACKLOG_BYTES = 4 * 1024 * 1024;
-/** Heartbeats without an answer after which a link counts as silent; counted, as a paused process sends none. */
-const MAX_UNANSWERED = 3;
+/**
+ * Unanswered heartbeats after which a link counts as silent. Heartbeats are counted instead of time, as a
+ * process that is itself paused sends none.
+ */
+const MAX_UNANSWERED_HEARTBEATS = 3;
 const HEARTBEAT = encodeFrame([MessageType.Heartbeat, 0]);
 const GOODBYE = encodeFrame([MessageType.Goodbye, 0]);
 
-interface Waiting {
+/** A request that waits for its response. */
+interface PendingRequest {
   readonly resolve: (value: unknown) => void;
   readonly reject: (err: Error) => void;
   readonly timer: TimerHandle;
 }
 
-/** Answer to a request, or a push. */
-type Incoming = readonly [number: number, body: unknown, problem?: string];
+/** Response to a request or heartbeat, or a push; `errorText` is set when the handler of the peer failed. */
+type IncomingFrame = readonly [requestId: number, body: unknown, errorText?: string];
 
-/** A link over TCP; it ends once. */
+/** A link over one TCP connection; it is not reused after it has ended. */
 export class TcpLink implements PeerLink {
   isUp = false;
 
-  heardAt: number;
+  lastReceivedAt: number;
 
-  usedAt: number;
+  lastUsedAt: number;
 
   private readonly socket: Socket;
 
   private readonly reader = new FrameReader();
 
-  private readonly waiting = new Map<number, Waiting>();
+  private readonly pendingRequests = new Map<number, PendingRequest>();
 
-  private nextNumber = 1;
+  private nextRequestId = 1;
 
   /** Heartbeats sent since the last bytes from the peer. */
-  private unanswered = 0;
+  private unansweredHeartbeats = 0;
 
   private hasEnded = false;
 
   /**
-   * Begins to connect.
-   * @param address - `host:port`.
+   * Starts to connect. Messages sent before the connection is established are buffered.
+   * @param address - Address of the peer, as `host:port`.
    * @param timers - Time.
    * @param events - Callbacks.
    */
@@ -57,52 +61,54 @@
     private readonly events: LinkEvents,
   ) {
     const [host = '', port = ''] = address.split(':');
-    this.heardAt = timers.now();
-    this.usedAt = this.heardAt;
+    this.lastReceivedAt = timers.now();
+    this.lastUsedAt = this.lastReceivedAt;
     this.socket = connect({ host, port: Number(port), noDelay: true });
-    const timer = timers.after(CONNECT_TIMEOUT_MS, () => this.end(LinkEnd.Silent, 'connect timeout'));
+    const timer = timers.after(CONNECT_TIMEOUT_MS, () => this.finish(LinkEnd.Silent, 'connect timeout'));
     this.socket.on('connect', () => {
       timer.cancel();
       this.isUp = true;
-      this.heardAt = timers.now();
+      this.lastReceivedAt = timers.now();
     });
     this.socket.on('data', (chunk) => this.receive(chunk));
-    this.socket.on('error', (err: NodeJS.ErrnoException) => this.end(endOf(err, this.isUp), err.message));
+    this.socket.on('error', (err: NodeJS.ErrnoException) =>
+      this.finish(linkEndFor(err, this.isUp), err.message),
+    );
     this.socket.on('close', () => {
       timer.cancel();
-      this.end(LinkEnd.Closed, 'closed by the peer');
+      this.finish(LinkEnd.Closed, 'closed by the peer');
     });
-    // Node keeps what is written before the connection is established.
+    // Node buffers what is written before the connection is established.
     this.write(encodeFrame([MessageType.Hello, 0, events.hello()]));
   }
 
   send(type: MessageType, body: unknown): void {
-    this.usedAt = this.timers.now();
+    this.lastUsedAt = this.timers.now();
     this.write(encodeFrame([type, 0, body]));
   }
 
   request(type: MessageType, body: unknown, timeoutMs: number): Promise<unknown> {
-    if (this.hasEnded) return Promise.reject(new Error('The link has ended.'));
-    this.usedAt = this.timers.now();
-    const number = this.nextNumber;
-    this.nextNumber += 1;
+    if (this.hasEnded) return Promise.reject(new Error('The link to the peer has ended.'));
+    this.lastUsedAt = this.timers.now();
+    const requestId = this.nextRequestId;
+    this.nextRequestId += 1;
     return new Promise((resolve, reject) => {
       const timer = this.timers.after(timeoutMs, () => {
-        this.waiting.delete(number);
-        reject(new Error(`The peer did not answer within ${timeoutMs} ms.`));
+        this.pendingRequests.delete(requestId);
+        reject(new Error(`The peer did not respond within ${timeoutMs} ms.`));
       });
-      this.waiting.set(number, { resolve, reject, timer });
-      this.write(encodeFrame([type, number, body]));
+      this.pendingRequests.set(requestId, { resolve, reject, timer });
+      this.write(encodeFrame([type, requestId, body]));
     });
   }
 
   heartbeat(): void {
     if (!this.isUp) return;
-    if (this.unanswered >= MAX_UNANSWERED) {
-      this.end(LinkEnd.Silent, `${this.unanswered} heartbeats were not answered`);
+    if (this.unansweredHeartbeats >= MAX_UNANSWERED_HEARTBEATS) {
+      this.finish(LinkEnd.Silent, `no response to ${this.unansweredHeartbeats} heartbeats`);
       return;
     }
-    this.unanswered += 1;
+    this.unansweredHeartbeats += 1;
     this.write(HEARTBEAT);
   }
 
@@ -112,64 +118,67 @@
     this.isUp = false;
     if (this.socket.writable) this.socket.end(GOODBYE);
     else this.socket.destroy();
-    this.failWaiting('The link was closed.');
+    this.rejectPending('The link to the peer was closed.');
   }
 
   private write(frame: Buffer): void {
     if (this.hasEnded) return;
-    if (this.socket.writableLength > MAX_BACKLOG_BYTES) this.end(LinkEnd.Silent, 'the peer does not read');
+    if (this.socket.writableLength > MAX_BACKLOG_BYTES) this.finish(LinkEnd.Silent, 'the peer does not read');
     else this.socket.write(frame);
   }
 
   private receive(chunk: Buffer): void {
-    this.heardAt = this.timers.now();
-    this.unanswered = 0;
+    this.lastReceivedAt = this.timers.now();
+    this.unansweredHeartbeats = 0;
     try {
-      for (const value of this.reader.take(chunk)) this.handle(value as Incoming);
+      for (const value of this.reader.read(chunk)) this.handleFrame(value as IncomingFrame);
     } catch (err) {
-      this.end(LinkEnd.Closed, String(err));
+      this.finish(LinkEnd.Closed, String(err));
     }
   }
 
-  private handle([number, body, problem]: Incoming): void {
-    if (number === PUSH_NUMBER) {
-      this.usedAt = this.heardAt;
+  private handleFrame([requestId, body, errorText]: IncomingFrame): void {
+    if (requestId === PUSH_ID) {
+      this.lastUsedAt = this.lastReceivedAt;
       if (!this.hasEnded) this.events.onPush(body);
       return;
     }
-    if (number === HEARTBEAT_NUMBER) {
+    if (requestId === HEARTBEAT_ID) {
       this.events.onDigest(Number(body));
       return;
     }
-    const waiting = this.waiting.get(number);
-    if (waiting === undefined) return;
-    this.waiting.delete(number);
-    waiting.timer.cancel();
-    if (problem === undefined) waiting.resolve(body);
-    else waiting.reject(new Error(problem));
+    const pending = this.pendingRequests.get(requestId);
+    if (pending === undefined) return;
+    this.pendingRequests.delete(requestId);
+    pending.timer.cancel();
+    if (errorText === undefined) pending.resolve(body);
+    else pending.reject(new Error(errorText));
   }
 
-  private end(end: LinkEnd, reason: string): void {
+  private finish(end: LinkEnd, reason: string): void {
     if (this.hasEnded) return;
     const wasUp = this.isUp;
     this.hasEnded = true;
     this.isUp = false;
     this.socket.destroy();
-    this.failWaiting(reason);
+    this.rejectPending(reason);
     this.events.onEnd(end, wasUp);
   }
 
-  private failWaiting(reason: string): void {
-    for (const { reject, timer } of this.waiting.values()) {
+  private rejectPending(reason: string): void {
+    for (const { reject, timer } of this.pendingRequests.values()) {
       timer.cancel();
       reject(new Error(reason));
     }
-    this.waiting.clear();
+    this.pendingRequests.clear();
   }
 }
 
-/** A reset shows that no process listens only while the connection is being set up. */
-function endOf({ code }: NodeJS.ErrnoException, wasUp: boolean): LinkEnd {
+/**
+ * Maps a socket error to the end of a link. A reset shows that no process listens only while the connection
+ * is being established.
+ */
+function linkEndFor({ code }: NodeJS.ErrnoException, wasUp: boolean): LinkEnd {
   if (code === 'ECONNREFUSED' || (code === 'ECONNRESET' && !wasUp)) return LinkEnd.Refused;
   return code === 'ETIMEDOUT' || code === 'EHOSTUNREACH' ? LinkEnd.Silent : LinkEnd.Closed;
 }
--- a/packages/routing/src/core/cluster/listener.ts
+++ b/packages/routing/src/core/cluster/listener.ts
@@ -1,22 +1,20 @@
-/** Accepts the connections of peers: hands their messages on and answers them. */
+/** Accepts connections of peers, passes their messages on and sends the responses. */
 import { createServer, type Server, type Socket } from 'node:net';
 
 import { startListening } from '@celeryyoke/core';
 
-import { encodeFrame, FrameReader, HEARTBEAT_NUMBER } from './frames.js';
+import { encodeFrame, FrameReader, HEARTBEAT_ID } from './frames.js';
 import type { ListenerEvents, PeerChannel } from './types.js';
 import { MessageType } from './types.js';
 
-/** Bytes that may wait for a peer that does not read before its connection is cut. */
+/** Bytes that may be buffered for a peer that does not read before its connection is closed. */
 const MAX_BACKLOG_BYTES = 4 * 1024 * 1024;
 
-type Message = readonly [type: MessageType, number: number, body: unknown];
+/** A message of a peer; the id is 0 unless the message is a request. */
+type IncomingFrame = readonly [type: MessageType, requestId: number, body: unknown];
 
 /**
- * Starts to listen for peers.
- * @param host - Address of this daemon.
- * @param port - Port.
- * @param events - What to do with messages.
+ * Starts listening for peers.
  * @returns The server, once it listens.
  */
 export async function listenForPeers(host: string, port: number, events: ListenerEvents): Promise<Server> {
@@ -27,13 +25,13 @@
   return server;
 }
 
-/** One accepted connection. */
+/** One connection of a peer; its first message must be a hello. */
 class PeerConnection implements PeerChannel {
   private readonly reader = new FrameReader();
 
   private peer: string | undefined;
 
-  private isOrderly = false;
+  private hasSaidGoodbye = false;
 
   constructor(
     private readonly socket: Socket,
@@ -45,7 +43,7 @@
     socket.on('data', (chunk) => this.receive(chunk));
     socket.on('error', (err) => events.onProblem(this.peer, err));
     socket.on('close', () => {
-      if (this.peer !== undefined) events.onClose(this.peer, this, this.isOrderly);
+      if (this.peer !== undefined) events.onClose(this.peer, this, this.hasSaidGoodbye);
     });
   }
 
@@ -57,27 +55,27 @@
 
   private receive(chunk: Buffer): void {
     try {
-      for (const value of this.reader.take(chunk)) this.handle(value as Message);
+      for (const value of this.reader.read(chunk)) this.handleFrame(value as IncomingFrame);
     } catch (err) {
       this.events.onProblem(this.peer, err as Error);
       this.socket.destroy();
     }
   }
 
-  private handle([type, number, body]: Message): void {
+  private handleFrame([type, requestId, body]: IncomingFrame): void {
     if (type === MessageType.Hello) this.peer = this.events.onHello(body);
-    else if (this.peer === undefined) throw new Error('A message came before the hello.');
-    else if (type === MessageType.Goodbye) this.isOrderly = true;
-    else if (type === MessageType.Heartbeat) this.push(encodeFrame([HEARTBEAT_NUMBER, this.events.digest()]));
-    else void this.answer(this.peer, type, number, body);
+    else if (this.peer === undefined) throw new Error('Received a message before the hello.');
+    else if (type === MessageType.Goodbye) this.hasSaidGoodbye = true;
+    else if (type === MessageType.Heartbeat) this.push(encodeFrame([HEARTBEAT_ID, this.events.digest()]));
+    else void this.respond(this.peer, type, requestId, body);
   }
 
-  private async answer(peer: string, type: MessageType, number: number, body: unknown): Promise<void> {
+  private async respond(peer: string, type: MessageType, requestId: number, body: unknown): Promise<void> {
     try {
       const result = await this.events.onMessage(peer, type, body, this);
-      if (number > 0) this.push(encodeFrame([number, result ?? null]));
+      if (requestId > 0) this.push(encodeFrame([requestId, result ?? null]));
     } catch (err) {
-      if (number > 0) this.push(encodeFrame([number, null, String(err)]));
+      if (requestId > 0) this.push(encodeFrame([requestId, null, String(err)]));
       else this.events.onProblem(peer, err as Error);
     }
   }
--- a/packages/routing/src/core/cluster/member-codec.ts
+++ b/packages/routing/src/core/cluster/member-codec.ts
@@ -1,7 +1,11 @@
-/** The compact form of a member's record: names are left out, as a whole fleet's records go to each new daemon. */
+/**
+ * Wire format of member records. Field names are left out, as the records of the whole fleet are sent to each
+ * daemon that joins.
+ */
 import type { MemberRecord } from './types.js';
 import { MemberState } from './types.js';
 
+/** States by their number on the wire. */
 const STATES: readonly MemberState[] = [
   MemberState.Alive,
   MemberState.Silent,
@@ -9,7 +13,7 @@
   MemberState.Ended,
 ];
 
-/** A member's record between daemons; the state is its place in a fixed list. */
+/** A member record on the wire; the state is its index in {@link STATES}. */
 export type MemberFrame = readonly [
   address: string,
   zone: string,
@@ -18,20 +22,11 @@
   state: number,
 ];
 
-/**
- * Encodes a record.
- * @param record - The record.
- * @returns Its compact form.
- */
 export function encodeMember({ address, zone, incarnation, version, state }: MemberRecord): MemberFrame {
   return [address, zone, incarnation, version, STATES.indexOf(state)];
 }
 
-/**
- * Decodes a record.
- * @param frame - Its compact form.
- * @returns The record.
- */
+/** Decodes a record; a state that this release does not know counts as silent. */
 export function decodeMember([address, zone, incarnation, version, state]: MemberFrame): MemberRecord {
   return { address, zone, incarnation, version, state: STATES[state] ?? MemberState.Silent };
 }
--- a/packages/routing/src/core/cluster/members.ts
+++ b/packages/routing/src/core/cluster/members.ts
@@ -1,10 +1,10 @@
 /**
- * The member table: merges what daemons say of each other, so that all come to the same view whatever the order in
- * which they hear it.
+ * The member table: merges records that daemons publish of each other, so that all daemons reach the same
+ * table in whatever order the records arrive.
  *
- * Records are ordered as in SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
- * Group Membership Protocol", DSN 2002): a later life of a process wins, then a later version, which only the member
- * itself raises, then the graver state.
+ * Records are ordered as in SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+ * Process Group Membership Protocol", DSN 2002): a later incarnation wins, then a higher version, which only
+ * the member itself raises, then the state with the higher precedence.
  */
 import type { TimerService } from '@celeryyoke/core';
 import { hash32 } from '@celeryyoke/core';
@@ -12,8 +12,8 @@
 import type { MemberRecord } from './types.js';
 import { MemberState } from './types.js';
 
-/** Order of states within one version. */
-const GRAVITY: Readonly<Record<MemberState, number>> = {
+/** Precedence of states within one version; the higher number wins. */
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
   [MemberState.Alive]: 0,
   [MemberState.Silent]: 1,
   [MemberState.Leaving]: 2,
@@ -22,124 +22,116 @@
 
 const DIGEST_RANGE = 2 ** 32;
 
-interface Known {
+/** A member's record with what is derived from it locally. */
+interface MemberEntry {
   readonly record: MemberRecord;
-  /** Monotonic time since which it has not been alive. */
+  /**
+   * Monotonic time since which the member has not been alive, in milliseconds; meaningless while it is alive.
+   */
   readonly downSince: number;
-  /** Place on the probing ring. */
+  /** Position on the probing ring. */
   readonly ringHash: number;
 }
 
-/**
- * Tells whether a record replaces another one of the same member.
- * @param next - What is heard.
- * @param known - What is known.
- * @returns Whether `next` is news.
- */
+/** Whether a record replaces the known record of the same member. */
 export function supersedes(next: MemberRecord, known: MemberRecord): boolean {
   if (next.incarnation !== known.incarnation) return next.incarnation > known.incarnation;
   if (next.version !== known.version) return next.version > known.version;
-  return GRAVITY[next.state] > GRAVITY[known.state];
+  return STATE_PRECEDENCE[next.state] > STATE_PRECEDENCE[known.state];
 }
 
 function digestOf({ address, incarnation, version, state }: MemberRecord): number {
   return hash32(`${address}|${incarnation}|${version}|${state}`);
 }
 
-/** Told of each change, with the record before. */
+/** Called with the new record of a member and the one before it, which is undefined for a new member. */
 export type MemberListener = (record: MemberRecord, before: MemberRecord | undefined) => void;
 
-/** Members that this daemon knows; itself is one of them. */
+/** Table of the members that this daemon knows, including itself. */
 export class MemberTable {
-  private readonly known = new Map<string, Known>();
+  private readonly entries = new Map<string, MemberEntry>();
 
-  private aliveAddresses: readonly string[] | undefined;
+  private cachedAlive: readonly string[] | undefined;
 
-  private ring: readonly Known[] | undefined;
+  private cachedRing: readonly MemberEntry[] | undefined;
 
-  private knownDigest: number | undefined;
+  private cachedDigest: number | undefined;
 
-  private own: MemberRecord;
+  private ownRecord: MemberRecord;
 
   /**
-   * Makes a table with this daemon in it.
-   * @param self - This daemon, alive.
+   * Creates a table that contains only this daemon.
+   * @param self - Record of this daemon, alive.
    * @param timers - Time.
-   * @param onChange - Told of each change, this daemon's own included.
+   * @param onChange - Called with each change of a record, also of this daemon's own.
    */
   constructor(
     self: MemberRecord,
     private readonly timers: TimerService,
     private readonly onChange: MemberListener,
   ) {
-    this.own = self;
+    this.ownRecord = self;
     this.store(self, 0);
   }
 
-  /** This daemon's own record. */
+  /** Record of this daemon. */
   get self(): MemberRecord {
-    return this.own;
+    return this.ownRecord;
   }
 
-  /**
-   * Finds a member.
-   * @param address - Its name.
-   * @returns Its record, or undefined.
-   */
+  /** Record of a member, if it is known. */
   get(address: string): MemberRecord | undefined {
-    return this.known.get(address)?.record;
+    return this.entries.get(address)?.record;
   }
 
-  /** All records. */
+  /** Records of all members, ended ones included. */
   records(): MemberRecord[] {
-    return [...this.known.values()].map(({ record }) => record);
+    return [...this.entries.values()].map(({ record }) => record);
   }
 
-  /** A number that two daemons share when they know the same of all members that have not ended. */
+  /** Digest of the records of all members that have not ended; equal on daemons with the same records. */
   digest(): number {
-    this.knownDigest ??= this.records()
+    this.cachedDigest ??= this.records()
       .filter(({ state }) => state !== MemberState.Ended)
       .reduce((sum, record) => (sum + digestOf(record)) % DIGEST_RANGE, 0);
-    return this.knownDigest;
+    return this.cachedDigest;
   }
 
-  /** Addresses of the living members in a fixed order, this daemon included. */
+  /** Sorted addresses of the living members, this daemon included; the same array until a record changes. */
   alive(): readonly string[] {
-    this.aliveAddresses ??= this.records()
+    this.cachedAlive ??= this.records()
       .filter(({ state }) => state === MemberState.Alive)
       .map(({ address }) => address)
       .sort();
-    return this.aliveAddresses;
+    return this.cachedAlive;
   }
 
-  /** Members that may be running and give orders: alive or silent. */
-  possible(): number {
+  /** Number of members that may be running and sending orders: those that are alive or silent. */
+  aliveOrSilentCount(): number {
     let count = 0;
-    for (const { record } of this.known.values())
+    for (const { record } of this.entries.values())
       if (record.state === MemberState.Alive || record.state === MemberState.Silent) count += 1;
     return count;
   }
 
   /**
-   * Tells how long a member has not been alive.
-   * @param address - Its name.
+   * Returns the time since a member was last alive.
    * @returns Milliseconds; 0 when it is alive, Infinity when it is not known.
    */
   downForMs(address: string): number {
-    const known = this.known.get(address);
+    const known = this.entries.get(address);
     if (known === undefined) return Number.POSITIVE_INFINITY;
     return known.record.state === MemberState.Alive ? 0 : this.timers.now() - known.downSince;
   }
 
   /**
-   * Takes a record that another daemon told. What is said of this daemon itself and is wrong is refuted.
-   * @param record - The record.
-   * @returns Whether it was news.
+   * Merges a record that another daemon published. A wrong record of this daemon itself is refuted.
+   * @returns Whether it changed the table.
    */
   merge(record: MemberRecord): boolean {
-    if (record.address === this.own.address) return this.refute(record);
-    const known = this.known.get(record.address)?.record;
-    // One that has ended and was forgotten here must not go round again.
+    if (record.address === this.ownRecord.address) return this.refute(record);
+    const known = this.entries.get(record.address)?.record;
+    // An ended member that was removed here must not come back and spread again.
     if (known === undefined && record.state === MemberState.Ended) return false;
     if (known !== undefined && !supersedes(record, known)) return false;
     this.put(record);
@@ -147,86 +139,85 @@
   }
 
   /**
-   * Notes what this daemon has found out of a member.
-   * @param address - Its name.
-   * @param state - Its state.
-   * @returns Whether that is news.
+   * Records a state of a member that this daemon has detected.
+   * @returns Whether it changed the table; it doesn't when a state of the same or a higher precedence is
+   *   known.
    */
-  declare(address: string, state: MemberState): boolean {
+  setState(address: string, state: MemberState): boolean {
     const known = this.get(address);
     return known !== undefined && this.merge({ ...known, state });
   }
 
-  /** Says that this daemon is shutting down. */
+  /** Marks this daemon as shutting down. */
   leave(): void {
-    this.replaceOwn({ ...this.own, version: this.own.version + 1, state: MemberState.Leaving });
+    this.replaceOwn({ ...this.ownRecord, version: this.ownRecord.version + 1, state: MemberState.Leaving });
   }
 
   /**
-   * Forgets members that ended long ago.
-   * @param ageMs - Time since their end, in milliseconds.
+   * Removes members that have ended.
+   * @param ageMs - Least time since a removed member was alive, in milliseconds.
    */
-  forgetEnded(ageMs: number): void {
+  removeEnded(ageMs: number): void {
     const oldest = this.timers.now() - ageMs;
-    for (const [address, { record, downSince }] of this.known) {
+    for (const [address, { record, downSince }] of this.entries) {
       if (record.state !== MemberState.Ended || downSince > oldest) continue;
-      this.known.delete(address);
-      this.ring = undefined;
+      this.entries.delete(address);
+      this.cachedRing = undefined;
     }
   }
 
   /**
-   * Lists the members that follow this daemon on the ring.
+   * Returns the members that follow this daemon on the ring.
    *
-   * The ring is ordered by a hash of the address, so that neighbours are in different failure domains. Silent members
-   * do not count, so that a daemon takes over the probing of those behind them.
-   * @param count - Members wanted that are not silent.
-   * @returns Records in the order of the ring, silent ones in between included.
+   * The ring is ordered by a hash of the address, which spreads neighbours over failure domains. Silent
+   * members are not counted, so that the members behind them are still probed.
+   * @param count - Number of members to return that are not silent.
+   * @returns Records in the order of the ring, with the silent ones in between.
    */
   successors(count: number): MemberRecord[] {
-    this.ring ??= [...this.known.values()]
+    this.cachedRing ??= [...this.entries.values()]
       .filter(({ record: { state } }) => state !== MemberState.Ended)
       .sort((left, right) => left.ringHash - right.ringHash);
-    const { ring } = this;
-    const start = ring.findIndex(({ record }) => record.address === this.own.address);
+    const { cachedRing: ring } = this;
+    const start = ring.findIndex(({ record }) => record.address === this.ownRecord.address);
     const found: MemberRecord[] = [];
-    let answering = 0;
-    for (let step = 1; step < ring.length && answering < count; step += 1) {
+    let notSilentCount = 0;
+    for (let step = 1; step < ring.length && notSilentCount < count; step += 1) {
       const { record } = ring[(start + step) % ring.length]!;
       found.push(record);
-      if (record.state !== MemberState.Silent) answering += 1;
+      if (record.state !== MemberState.Silent) notSilentCount += 1;
     }
     return found;
   }
 
-  /** Raises this daemon's own record above what was said of it. */
-  private refute(said: MemberRecord): boolean {
-    if (!supersedes(said, this.own)) return false;
-    const isLater = said.incarnation > this.own.incarnation;
+  /** Raises this daemon's own record above a record that another daemon published of it. */
+  private refute(claimed: MemberRecord): boolean {
+    if (!supersedes(claimed, this.ownRecord)) return false;
+    const isLater = claimed.incarnation > this.ownRecord.incarnation;
     this.replaceOwn({
-      ...this.own,
-      incarnation: isLater ? said.incarnation + 1 : this.own.incarnation,
-      version: isLater ? 0 : said.version + 1,
+      ...this.ownRecord,
+      incarnation: isLater ? claimed.incarnation + 1 : this.ownRecord.incarnation,
+      version: isLater ? 0 : claimed.version + 1,
     });
     return true;
   }
 
   private replaceOwn(record: MemberRecord): void {
-    this.own = record;
+    this.ownRecord = record;
     this.put(record);
   }
 
   private put(record: MemberRecord): void {
-    const before = this.known.get(record.address);
+    const before = this.entries.get(record.address);
     const wasAlive = before === undefined || before.record.state === MemberState.Alive;
     this.store(record, wasAlive ? this.timers.now() : before.downSince);
     this.onChange(record, before?.record);
   }
 
   private store(record: MemberRecord, downSince: number): void {
-    this.known.set(record.address, { record, downSince, ringHash: hash32(record.address) });
-    this.aliveAddresses = undefined;
-    this.ring = undefined;
-    this.knownDigest = undefined;
+    this.entries.set(record.address, { record, downSince, ringHash: hash32(record.address) });
+    this.cachedAlive = undefined;
+    this.cachedRing = undefined;
+    this.cachedDigest = undefined;
   }
 }
--- a/packages/routing/src/core/cluster/tcp.ts
+++ b/packages/routing/src/core/cluster/tcp.ts
@@ -1,4 +1,4 @@
-/** Connections between daemons over TCP. */
+/** Transport between daemons over TCP. */
 import type { TimerService } from '@celeryyoke/core';
 import type { Socket } from 'node:net';
 
@@ -7,10 +7,8 @@
 import type { PeerTransport } from './types.js';
 
 /**
- * Makes the TCP transport of one daemon.
- * @param self - Its address, as `host:port`.
- * @param timers - Time.
- * @returns The transport.
+ * Creates the TCP transport of a daemon.
+ * @param self - Address of the daemon, as `host:port`.
  */
 export function createTcpTransport(self: string, timers: TimerService): PeerTransport {
   return {
--- a/packages/routing/src/core/cluster/types.ts
+++ b/packages/routing/src/core/cluster/types.ts
@@ -1,100 +1,100 @@
-/** Types of the fleet's membership and of the messages between daemons. */
+/** Types of the fleet's membership, and of links and messages between daemons. */
 
 /** A daemon of the fleet. */
 export interface Member {
-  /** Where it listens for peers, as `host:port`; its name in the fleet. */
+  /** Address on which the daemon listens for peers, as `host:port`; identifies it in the fleet. */
   readonly address: string;
-  /** Failure domain. */
+  /** Failure domain of the daemon. */
   readonly zone: string;
-  /** Names one life of its process; a later one is larger. */
+  /** Identifies one run of the daemon's process; a later process start has a larger number. */
   readonly incarnation: number;
 }
 
-/** Whether a member takes part. */
+/** State of a member, as the fleet knows it. */
 export enum MemberState {
   Alive = 'alive',
-  /** It did not answer the daemons that probe it; it may be dead, cut off or paused. */
+  /** The member did not respond to probes; it may have crashed, be cut off or paused. */
   Silent = 'silent',
-  /** It has said that it is shutting down; it gives no more orders. */
+  /** The member has published that it is shutting down; its engines may be claimed. */
   Leaving = 'leaving',
-  /** Its process has ended, as a refused connection shows. */
+  /** The member's process has ended, which a refused connection shows. */
   Ended = 'ended',
 }
 
-/** What the fleet knows of one member. */
+/** A member with its state. */
 export interface MemberRecord extends Member {
-  /** Raised only by the member itself, to refute what others say of it. */
+  /** Raised only by the member itself: to refute records of it, and when it shuts down. */
   readonly version: number;
   readonly state: MemberState;
 }
 
-/** Types of messages between daemons. */
+/** Types of messages between daemons; the numbers are sent. */
 export enum MessageType {
-  /** First message of a link: who speaks. */
+  /** First message on a connection: the record of the sender. */
   Hello = 1,
-  /** Probes the receiver. */
+  /** Probes the receiver, which responds with the digest of its members. */
   Heartbeat = 2,
-  /** The speaker closes the link since it does not need it; its process goes on. */
+  /** The sender closes the link because it is not needed; its process goes on. */
   Goodbye = 3,
   /** Exchanges the members that both sides know. */
   Join = 4,
-  /** Asks to be sent all changes of the shared state. */
+  /** Subscribes to all changes of the shared state. */
   Subscribe = 5,
   /** Ends a subscription. */
   Unsubscribe = 6,
-  /** Changes of the shared state, on their way to the root. */
+  /** Sends changes of the shared state up the tree. */
   Update = 7,
-  /** Asks for the changes of the platform's view since a revision. */
+  /** Requests the changes of the platform's view since a revision. */
   ViewChanges = 8,
-  /** Asks the owner of an engine to have an adapter there. */
+  /** Requests the owner of an engine to load an adapter there. */
   Ensure = 9,
-  /** Asks the owner of an engine to admit a prompt. */
+  /** Requests the owner of an engine to admit a prompt. */
   Admission = 10,
-  /** The speaker's requests on the engines of the receiver. */
+  /** Reports the sender's requests in flight on engines that the receiver owns. */
   InFlight = 11,
-  /** Asks how old the last batch of a root is. */
+  /** Requests the age of the last batch of a root. */
   RootAge = 12,
-  /** Asks the owner of an account to charge a request. */
+  /** Requests the owner of an account to charge a request. */
   QuotaCharge = 13,
-  /** What the speaker has admitted of accounts that the receiver owns. */
+  /** Reports the usage that the sender has admitted for accounts that the receiver owns. */
   QuotaUsage = 14,
-  /** Asks for the monotonic clock. */
+  /** Requests the receiver's monotonic time. */
   Clock = 15,
-  /** Asks whether a request may be sent to a replica that states a limit. */
+  /** Requests permission to send an attempt to a replica that states a rate limit. */
   SendPermit = 16,
 }
 
-/** The listening end of a link, over which messages can be pushed to the daemon that dialled. */
+/** The accepting end of a connection, over which messages can be pushed to the daemon that opened it. */
 export interface PeerChannel {
   /**
-   * Sends a message that is no answer.
-   * @param frame - Made by `encodePush`.
+   * Sends a message that is no response.
+   * @param frame - Encoded with `encodePush`.
    */
   push(frame: Buffer): void;
 }
 
-/** Handles the messages of one type; what it returns or resolves to is the answer to a request. */
+/** Handles the messages of one type; what it returns or resolves to is the response to a request. */
 export type MessageHandler = (from: Member, body: never, channel: PeerChannel) => unknown;
 
 /** How a link ended. */
 export enum LinkEnd {
-  /** The host refused the connection: no process listens there. */
+  /** The connection was refused: no process listens at the address. */
   Refused = 'refused',
-  /** The peer closed or reset it. */
+  /** The peer closed or reset the connection, or sent a frame that can't be decoded. */
   Closed = 'closed',
-  /** The peer did not answer in time. */
+  /** The peer did not respond in time, can't be reached or does not read. */
   Silent = 'silent',
 }
 
 /** Callbacks of a link to a peer. */
 export interface LinkEvents {
-  /** First message of the link. */
+  /** Returns the body of the hello. */
   readonly hello: () => unknown;
   /** Called with each message that the peer pushes. */
   readonly onPush: (body: unknown) => void;
-  /** Called with the digest of the members that the peer knows, which it answers to a heartbeat. */
+  /** Called with the digest of the peer's members, which is its response to a heartbeat. */
   readonly onDigest: (digest: number) => void;
-  /** Called once, when the link ended or could not be made; not after {@link PeerLink.close}. */
+  /** Called once when the link has ended or could not be established; not after {@link PeerLink.close}. */
   readonly onEnd: (end: LinkEnd, wasUp: boolean) => void;
 }
 
@@ -103,44 +103,46 @@
   /** Whether the connection is established. */
   readonly isUp: boolean;
   /** Monotonic time of the last bytes from the peer, in milliseconds. */
-  readonly heardAt: number;
+  readonly lastReceivedAt: number;
   /** Monotonic time of the last message other than a heartbeat, in either direction, in milliseconds. */
-  readonly usedAt: number;
-  /** Sends a message that has no answer; before the connection is established it is kept. */
+  readonly lastUsedAt: number;
+  /** Sends a message without a response; it is buffered until the connection is established. */
   send(type: MessageType, body: unknown): void;
   /**
-   * Sends a message and waits for its answer.
-   * @param timeoutMs - Longest wait.
-   * @throws Error when the link ends or the time is over.
+   * Sends a request and waits for its response.
+   * @throws Error when the link ends, the handler of the peer fails or the timeout expires.
    */
   request(type: MessageType, body: unknown, timeoutMs: number): Promise<unknown>;
-  /** Sends a heartbeat, and ends the link when the peer has not answered the last ones. */
+  /** Sends a heartbeat, or ends the link when the peer has not responded to the last ones. */
   heartbeat(): void;
-  /** Tells the peer that the link is not needed, and closes it. */
+  /** Sends a goodbye and closes the link. */
   close(): void;
 }
 
-/** What the listening side does with what it hears. */
+/** Callbacks of the listening side. */
 export interface ListenerEvents {
   /**
    * Called with the first message of a connection.
    * @returns Address of the peer.
+   * @throws Error when the hello is invalid, which closes the connection.
    */
   readonly onHello: (body: unknown) => string;
-  /** Digest of the members that this daemon knows; the answer to a heartbeat. */
+  /** Returns the digest of this daemon's members; the response to a heartbeat. */
   readonly digest: () => number;
-  /** Called with each further message; what it returns is the answer. */
+  /** Called with each further message; what it returns or resolves to is the response. */
   readonly onMessage: (peer: string, type: MessageType, body: unknown, channel: PeerChannel) => unknown;
-  /** Called when a connection ended; orderly when the peer had said goodbye. */
+  /** Called when a connection is closed; orderly when the peer has sent a goodbye. */
   readonly onClose: (peer: string, channel: PeerChannel, isOrderly: boolean) => void;
-  /** Called with what went wrong on a connection. */
+  /** Called with an error on a connection; the address is undefined before the hello. */
   readonly onProblem: (peer: string | undefined, err: Error) => void;
 }
 
-/** Connects daemons. */
+/** Connections between daemons. */
 export interface PeerTransport {
-  /** Starts to accept connections; the result ends them all. */
+  /**
+   * Starts to accept connections; the returned function stops listening and closes all accepted connections.
+   */
   listen(events: ListenerEvents): Promise<() => void>;
-  /** Opens a connection. */
+  /** Opens a link. */
   connect(address: string, events: LinkEvents): PeerLink;
 }
--- a/packages/routing/test/fleet/members.test.ts
+++ b/packages/routing/test/fleet/members.test.ts
@@ -40,7 +40,7 @@
       for (const record of [...known, ...other]) second.merge(record);
       t.deepEqual(first.alive(), second.alive());
       t.is(first.digest(), second.digest());
-      t.is(first.possible(), second.possible());
+      t.is(first.aliveOrSilentCount(), second.aliveOrSilentCount());
     }),
   );
 });
@@ -67,9 +67,9 @@
   const { timers, table } = makeTable();
   const other: MemberRecord = { ...SELF, address: 'a:1' };
   table.merge(other);
-  table.declare('a:1', MemberState.Ended);
+  table.setState('a:1', MemberState.Ended);
   await timers.advance(61_000);
-  table.forgetEnded(60_000);
+  table.removeEnded(60_000);
   t.is(table.get('a:1'), undefined);
   t.false(table.merge({ ...other, state: MemberState.Ended }));
   t.is(table.get('a:1'), undefined);
@@ -80,7 +80,7 @@
   for (let index = 0; index < 20; index += 1) table.merge({ ...SELF, address: `m${index}:1` });
   const first = table.successors(3);
   t.is(first.length, 3);
-  table.declare(first[0]!.address, MemberState.Silent);
+  table.setState(first[0]!.address, MemberState.Silent);
   const second = table.successors(3);
   t.is(second.length, 4);
   t.deepEqual(
--- a/packages/routing/test/fleet/network.ts
+++ b/packages/routing/test/fleet/network.ts
@@ -173,9 +173,9 @@
 export class MemoryLink implements PeerLink {
   isUp = false;
 
-  heardAt: number;
+  lastReceivedAt: number;
 
-  usedAt: number;
+  lastUsedAt: number;
 
   private unanswered = 0;
 
@@ -196,8 +196,8 @@
     private readonly events: LinkEvents,
   ) {
     const { timers } = network;
-    this.heardAt = timers.now();
-    this.usedAt = this.heardAt;
+    this.lastReceivedAt = timers.now();
+    this.lastUsedAt = this.lastReceivedAt;
     network.links.add(this);
     this.channel = { isOpen: true, push: (frame) => this.carryPush(frame) };
     const hello = copy(events.hello());
@@ -211,13 +211,13 @@
   }
 
   send(type: MessageType, body: unknown): void {
-    this.usedAt = this.network.timers.now();
+    this.lastUsedAt = this.network.timers.now();
     this.deliver(type, 0, body);
   }
 
   request(type: MessageType, body: unknown, timeoutMs: number): Promise<unknown> {
     if (this.hasEnded) return Promise.reject(new Error('The link has ended.'));
-    this.usedAt = this.network.timers.now();
+    this.lastUsedAt = this.network.timers.now();
     const number = this.next;
     this.next += 1;
     return new Promise((resolve, reject) => {
@@ -316,17 +316,17 @@
 
   private carryPush(frame: Buffer): void {
     if (!this.channel.isOpen || this.hasEnded) return;
-    const [[, body]] = [...new FrameReader().take(frame)] as [[number, unknown]];
+    const [[, body]] = [...new FrameReader().read(frame)] as [[number, unknown]];
     this.network.carry(this.to, this.from, body, () => {
       if (this.hasEnded) return;
       this.hear();
-      this.usedAt = this.heardAt;
+      this.lastUsedAt = this.lastReceivedAt;
       this.events.onPush(body);
     });
   }
 
   private hear(): void {
-    this.heardAt = this.network.timers.now();
+    this.lastReceivedAt = this.network.timers.now();
     this.unanswered = 0;
   }
 
--- a/packages/routing/test/frames.test.ts
+++ b/packages/routing/test/frames.test.ts
@@ -15,7 +15,7 @@
       let at = 0;
       for (let index = 0; at < bytes.length; index += 1) {
         const end = at + cuts[index % cuts.length]!;
-        received.push(...reader.take(bytes.subarray(at, end)));
+        received.push(...reader.read(bytes.subarray(at, end)));
         at = end;
       }
       return JSON.stringify(received) === JSON.stringify(sent);
@@ -42,7 +42,7 @@
     fc.property(fc.uint8Array({ minLength: 4, maxLength: 200 }), (bytes) => {
       const reader = new FrameReader();
       try {
-        return [...reader.take(Buffer.from(bytes))].length >= 0;
+        return [...reader.read(Buffer.from(bytes))].length >= 0;
       } catch (err) {
         return err instanceof Error;
       }
@@ -54,5 +54,5 @@
 test('a small frame that would grow beyond all bounds is refused', (t) => {
   const frame = encodeFrame('x'.repeat(9 * 1024 * 1024));
   t.true(frame.length < 200_000);
-  t.throws(() => [...new FrameReader().take(frame)]);
+  t.throws(() => [...new FrameReader().read(frame)]);
 });
