--- a/packages/routing/test/fleet/daemons.ts
+++ b/packages/routing/test/fleet/daemons.ts
@@ -1,4 +1,4 @@
-/** Daemons that have only a cluster and a tree, on the virtual clock. */
+/** A fleet of daemons with only membership and shared state, on the virtual clock. */
 import type { ManualTimerService } from '@celeryyoke/core';
 import { createManualTimers } from '@celeryyoke/core';
 import type { MemberFrame, MemberRecord } from '@celeryyoke/routing';
@@ -16,13 +16,13 @@
 import { engineEntry, log } from '../fakes.js';
 import { MemoryNetwork, timersOf } from './network.js';
 
-/** A shared row of the tests. */
-export interface Note {
+/** A row of shared state as the tests publish it. */
+export interface TestRow {
   readonly name: string;
   readonly version: number;
 }
 
-/** One daemon. */
+/** A daemon with a cluster, a dissemination tree and a view of the platform. */
 export class TestDaemon {
   readonly cluster: Cluster;
 
@@ -30,8 +30,8 @@
 
   readonly view: ReplicatedStore;
 
-  /** Versions of the notes that it knows. */
-  readonly notes = new Map<string, number>();
+  /** Versions of the known rows, by name. */
+  readonly rowVersions = new Map<string, number>();
 
   isStopped = false;
 
@@ -69,11 +69,11 @@
       encode: encodeMember,
       decode: (wire) => decodeMember(wire as MemberFrame),
     });
-    this.tree.register<Note>(Topic.EngineLease, {
+    this.tree.register<TestRow>(Topic.EngineLease, {
       isUrgent: false,
       keyOf: ({ name }) => name,
-      merge: (note) => this.take(note),
-      snapshot: () => [...this.notes].map(([name, version]) => ({ name, version })),
+      merge: (row) => this.mergeRow(row),
+      snapshot: () => [...this.rowVersions].map(([name, version]) => ({ name, version })),
       encode: ({ name, version }) => [name, version],
       decode: (wire) => {
         const [name, version] = wire as [string, number];
@@ -87,14 +87,14 @@
     this.tree.start();
   }
 
-  /** Publishes a note. */
+  /** Publishes a row. */
   publish(name: string, version: number): void {
-    this.take({ name, version });
+    this.mergeRow({ name, version });
     this.tree.publish(Topic.EngineLease, { name, version });
   }
 
-  /** Notes that the platform's store has a replica at a revision. */
-  read(revision: number): void {
+  /** Applies and publishes a read of the platform's store that found a replica at a revision. */
+  readStore(revision: number): void {
     const record = { kind: RecordKind.Replica as const, replica: engineEntry(`e${revision}`) };
     const changes = [{ key: `e${revision}`, revision, record }];
     const isWhole = this.view.upTo === 0;
@@ -103,32 +103,32 @@
     this.tree.publishView(true);
   }
 
-  /** Ends the process without a word. */
+  /** Ends the process without notice to the other daemons. */
   kill(): void {
     this.isStopped = true;
     this.tree.stop();
     this.network.listening.delete(this.address);
     this.cluster.close();
-    this.network.end(this.address);
+    this.network.endProcess(this.address);
   }
 
-  private take({ name, version }: Note): boolean {
-    if ((this.notes.get(name) ?? 0) >= version) return false;
-    this.notes.set(name, version);
+  private mergeRow({ name, version }: TestRow): boolean {
+    if ((this.rowVersions.get(name) ?? 0) >= version) return false;
+    this.rowVersions.set(name, version);
     return true;
   }
 }
 
-/** Age of what is heard of the fleet beyond which a daemon may be cut off from it, in milliseconds. */
+/** Age of the state of the fleet beyond which a daemon may be cut off, in milliseconds. */
 const UP_TO_DATE_MS = 1500;
 
-/** Whether a daemon has heard of the fleet a moment ago. */
+/** Whether a daemon has received recent state of the fleet. */
 export function isUpToDate({ cluster, tree }: TestDaemon): boolean {
   const isHeard = cluster.alive().length <= 1 || cluster.heardAgoMs() < UP_TO_DATE_MS;
   return isHeard && tree.ageMs < UP_TO_DATE_MS;
 }
 
-/** Makes the share of a daemon in what the whole fleet is allowed. */
+/** Creates a daemon's share in an allowance of the whole fleet. */
 export function shareOf(
   fleet: TestFleet,
   daemon: TestDaemon,
@@ -147,7 +147,7 @@
   });
 }
 
-/** A fleet of daemons. */
+/** Daemons of a fleet, which a test starts and stops. */
 export class TestFleet {
   readonly timers: ManualTimerService = createManualTimers();
 
@@ -155,7 +155,7 @@
 
   readonly daemons = new Map<string, TestDaemon>();
 
-  private incarnations = 1;
+  private lastIncarnation = 1;
 
   constructor(
     readonly zones: number,
@@ -163,30 +163,30 @@
     private readonly onCreate: (daemon: TestDaemon) => void = () => undefined,
   ) {}
 
-  /** Name of the daemon with a number; numbers go round the failure domains. */
+  /** Address of a daemon; consecutive indexes are in different failure domains. */
   name(index: number): string {
     return `10.${1 + (index % this.zones)}.0.${100 + Math.floor(index / this.zones)}:1`;
   }
 
-  /** Daemons that each daemon asks first. */
+  /** Addresses of the seeds of every daemon. */
   seeds(): string[] {
     return Array.from({ length: this.seedCount }, (_, seed) => this.name(seed));
   }
 
-  /** Starts a daemon, again if it has run before. */
+  /** Starts a daemon, or starts it again with a new incarnation. */
   async start(index: number): Promise<TestDaemon> {
     const address = this.name(index);
     const seeds = this.seeds();
-    this.incarnations += 1;
+    this.lastIncarnation += 1;
     const zone = `z${index % this.zones}`;
-    const daemon = new TestDaemon(this.network, address, zone, seeds, this.incarnations);
+    const daemon = new TestDaemon(this.network, address, zone, seeds, this.lastIncarnation);
     this.daemons.set(address, daemon);
     this.onCreate(daemon);
     await daemon.start();
     return daemon;
   }
 
-  /** Starts daemons from 0 on, some milliseconds apart. */
+  /** Starts the first daemons, up to two milliseconds apart. */
   async startAll(count: number): Promise<void> {
     for (let index = 0; index < count; index += 1) {
       await this.start(index);
@@ -198,22 +198,25 @@
     return this.daemons.get(this.name(index))!;
   }
 
-  /** Daemons that run. */
+  /** Daemons whose process has not ended. */
   running(): TestDaemon[] {
     return [...this.daemons.values()].filter(({ isStopped }) => !isStopped);
   }
 
-  /** Lets time go by until something holds. */
-  async until(holds: () => boolean, limitMs: number, stepMs = 20): Promise<number> {
+  /**
+   * Advances time until a condition holds or a limit is reached.
+   * @returns Time that was waited, in milliseconds.
+   */
+  async advanceUntil(condition: () => boolean, limitMs: number, stepMs = 20): Promise<number> {
     let waitedMs = 0;
-    while (!holds() && waitedMs < limitMs) {
+    while (!condition() && waitedMs < limitMs) {
       await this.timers.advance(stepMs);
       waitedMs += stepMs;
     }
     return waitedMs;
   }
 
-  /** Whether every running daemon takes just the running ones for alive. */
+  /** Whether all of some daemons know exactly each other as alive. */
   agrees(among: readonly TestDaemon[] = this.running()): boolean {
     const expected = among
       .map(({ address }) => address)
@@ -222,8 +225,8 @@
     return among.every(({ cluster }) => cluster.alive().join() === expected);
   }
 
-  /** Whether all of some daemons know a note. */
-  knowNote(name: string, version: number, among: readonly TestDaemon[] = this.running()): boolean {
-    return among.every(({ notes }) => notes.get(name) === version);
+  /** Whether all of some daemons have a row in a version. */
+  haveRow(name: string, version: number, among: readonly TestDaemon[] = this.running()): boolean {
+    return among.every(({ rowVersions }) => rowVersions.get(name) === version);
   }
 }
--- a/packages/routing/test/fleet/freshness.test.ts
+++ b/packages/routing/test/fleet/freshness.test.ts
@@ -1,4 +1,4 @@
-/** How old the view of the platform is on each daemon, and that no daemon takes it for fresher than it is. */
+/** Freshness of the platform's view on each daemon; no daemon may report a lower age than the true one. */
 import { readingRank, StoreWatcher } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
@@ -9,15 +9,15 @@
 import { timersOf } from './network.js';
 import { TestStore } from './store.js';
 
-/** Bound on the time from a change in the store to its being in force, of the smallest fleets, in milliseconds. */
+/** Bound on the time until a change in the store is in force, for the smallest fleets, in milliseconds. */
 const IN_FORCE_MS = 2000;
-/** Rounding of ages on the wire and of the play's steps, in milliseconds. */
+/** Tolerance for the rounding of ages on the wire and for the steps of a run, in milliseconds. */
 const ROUNDING_MS = 5;
 const STEP_MS = 20;
 const ZONES = 3;
 
-/** A fleet whose daemons follow a store that changes all the time. */
-class FollowingFleet {
+/** A fleet whose daemons watch a store that changes all the time. */
+class WatchingFleet {
   readonly fleet: TestFleet;
 
   readonly store: TestStore;
@@ -27,7 +27,7 @@
   private readonly random = createRandom('freshness');
 
   constructor() {
-    this.fleet = new TestFleet(ZONES, ZONES, (daemon) => this.follow(daemon));
+    this.fleet = new TestFleet(ZONES, ZONES, (daemon) => this.startWatcher(daemon));
     this.store = new TestStore(this.fleet.network, this.fleet.timers);
   }
 
@@ -36,17 +36,17 @@
     await this.fleet.timers.advance(7000);
   }
 
-  /** Lets time go by while the store changes. */
-  async play(forMs: number, everyMs: number, look: () => void): Promise<void> {
+  /** Advances time while the store changes, and calls back after each step. */
+  async run(forMs: number, everyMs: number, observe: () => void): Promise<void> {
     for (let atMs = 0; atMs < forMs; atMs += STEP_MS) {
       if (atMs % everyMs === 0) this.store.write();
       await this.fleet.timers.advance(STEP_MS);
-      look();
+      observe();
     }
   }
 
-  /** By how much a daemon takes its view for fresher than it is, in milliseconds. */
-  overstatedMs({ view }: TestDaemon): number {
+  /** Time by which the true age of a daemon's view exceeds the age that it reports, in milliseconds. */
+  understatedMs({ view }: TestDaemon): number {
     return this.store.staleMs(view.upTo) - view.ageMs;
   }
 
@@ -54,7 +54,7 @@
     for (const watcher of this.watchers) watcher.stop();
   }
 
-  private follow(daemon: TestDaemon): void {
+  private startWatcher(daemon: TestDaemon): void {
     const { address, view, cluster, tree } = daemon;
     const watcher = new StoreWatcher({
       view,
@@ -73,22 +73,28 @@
   }
 }
 
-/** What a play shows of some daemons. */
+/** Measurements of some daemons over a run. */
 interface Ages {
-  /** Longest time for which a view was not the newest one, in milliseconds. */
+  /** Longest time for which a view lacked a change, in milliseconds. */
   staleMs: number;
-  /** Longest time by which a daemon took its view for fresher than it was, in milliseconds. */
-  overstatedMs: number;
+  /** Longest time by which the true age of a view exceeded the reported one, in milliseconds. */
+  understatedMs: number;
 }
 
-/** Plays ten seconds in which the store changes all the time; a part at the beginning may be left out of the ages. */
-async function play(following: FollowingFleet, daemons: readonly TestDaemon[], leftOutMs = 0): Promise<Ages> {
-  const ages: Ages = { staleMs: 0, overstatedMs: 0 };
-  await following.play(leftOutMs, 100, () => undefined);
-  await following.play(10_000, 100, () => {
+/**
+ * Runs for ten seconds while the store changes, after an optional warm-up, and measures the ages of views.
+ */
+async function runAndMeasure(
+  watching: WatchingFleet,
+  daemons: readonly TestDaemon[],
+  warmUpMs = 0,
+): Promise<Ages> {
+  const ages: Ages = { staleMs: 0, understatedMs: 0 };
+  await watching.run(warmUpMs, 100, () => undefined);
+  await watching.run(10_000, 100, () => {
     for (const daemon of daemons) {
-      ages.staleMs = Math.max(ages.staleMs, following.store.staleMs(daemon.view.upTo));
-      ages.overstatedMs = Math.max(ages.overstatedMs, following.overstatedMs(daemon));
+      ages.staleMs = Math.max(ages.staleMs, watching.store.staleMs(daemon.view.upTo));
+      ages.understatedMs = Math.max(ages.understatedMs, watching.understatedMs(daemon));
     }
   });
   return ages;
@@ -96,71 +102,74 @@
 
 for (const [name, slowIndex] of [
   ['the root', 0],
-  ['one that passes batches on', 1],
+  ['a daemon that forwards batches', 1],
 ] as const)
-  // Guards against a change that is in force late on a sound daemon, as what reached it over a slow one counted as new.
-  test(`a change is in force on all others in time while ${name} handles all late`, async (t) => {
-    const following = new FollowingFleet();
-    t.teardown(() => following.stop());
-    const { fleet } = following;
-    await following.settle(24);
+  // Guards against a change that is late on other daemons because a view that a slow daemon forwards counts
+  // as fresh.
+  test(`a change is in force on all others in time while ${name} handles messages late`, async (t) => {
+    const watching = new WatchingFleet();
+    t.teardown(() => watching.stop());
+    const { fleet } = watching;
+    await watching.settle(24);
     const slow = fleet.daemon(slowIndex);
     t.true(slow.tree.subscribers > 0);
     fleet.network.slow(slow.address, 1100);
-    const ages = await play(
-      following,
+    const ages = await runAndMeasure(
+      watching,
       fleet.running().filter((daemon) => daemon !== slow),
     );
     t.log(ages);
-    t.true(ages.overstatedMs <= ROUNDING_MS);
+    t.true(ages.understatedMs <= ROUNDING_MS);
     t.true(ages.staleMs < IN_FORCE_MS);
   });
 
-// Guards against ages that lose the time on the way whenever they go round between a daemon and its parent.
-test('a change is in force in time while the store refuses the root and all handle messages late', async (t) => {
-  const following = new FollowingFleet();
-  t.teardown(() => following.stop());
-  const { fleet, store } = following;
-  await following.settle(24);
+// Guards against ages that lose the time in transit whenever they pass between a daemon and its parent.
+test('a change is in force in time while the store refuses the root and all daemons are slow', async (t) => {
+  const watching = new WatchingFleet();
+  t.teardown(() => watching.stop());
+  const { fleet, store } = watching;
+  await watching.settle(24);
   for (const daemon of fleet.running()) fleet.network.slow(daemon.address, 100);
   store.refused.add(fleet.daemon(0).address);
-  const ages = await play(following, fleet.running());
+  const ages = await runAndMeasure(watching, fleet.running());
   t.log(ages);
-  t.true(ages.overstatedMs <= ROUNDING_MS);
+  t.true(ages.understatedMs <= ROUNDING_MS);
   t.true(ages.staleMs < IN_FORCE_MS);
 });
 
-/** Time in which another daemon takes the reading over, in milliseconds. */
+/** Time within which another daemon takes over reading the store, in milliseconds. */
 const TAKE_OVER_MS = 2000;
-/** Bound on the age of views while one daemon reads, in milliseconds; a reader's pause and the way down. */
-const READ_MS = 800;
-
-// Guards against a daemon that reads once in place of the root and then waits until the view is old again.
-test('views stay fresh while the store refuses the root for long', async (t) => {
-  const following = new FollowingFleet();
-  t.teardown(() => following.stop());
-  const { fleet, store } = following;
-  await following.settle(24);
+/**
+ * Bound on the age of views while one daemon reads, in milliseconds: the pause between reads and the transit.
+ */
+const MAX_AGE_MS = 800;
+
+// Guards against a daemon that reads once in place of the root, then waits until the view has aged again.
+test('views stay fresh while the store refuses the root for a long time', async (t) => {
+  const watching = new WatchingFleet();
+  t.teardown(() => watching.stop());
+  const { fleet, store } = watching;
+  await watching.settle(24);
   store.refused.add(fleet.daemon(0).address);
-  const ages = await play(following, fleet.running(), TAKE_OVER_MS);
+  const ages = await runAndMeasure(watching, fleet.running(), TAKE_OVER_MS);
   t.log(ages);
-  t.true(ages.staleMs < READ_MS);
+  t.true(ages.staleMs < MAX_AGE_MS);
   store.refused.clear();
-  await following.play(2000, 100, () => undefined);
+  await watching.run(2000, 100, () => undefined);
   const callsBefore = store.watches;
-  await following.play(4000, 100, () => undefined);
+  await watching.run(4000, 100, () => undefined);
   const perSecond = (store.watches - callsBefore) / 4;
   t.log({ perSecond });
   t.true(perSecond <= 1000 / 120);
 });
 
 const DAEMONS = 12;
-/** Random plays in CI; more by hand with CELERYYOKE_SOAK_PLAYS, from CELERYYOKE_SOAK_SEED on. */
-const PLAYS = Number(process.env.CELERYYOKE_SOAK_PLAYS ?? 25);
+/** Random runs; CELERYYOKE_SOAK_PLAYS and CELERYYOKE_SOAK_SEED set other numbers for longer tests. */
+const RUNS = Number(process.env.CELERYYOKE_SOAK_PLAYS ?? 25);
 const SEED = Number(process.env.CELERYYOKE_SOAK_SEED ?? 1);
 
-/** What a step of a random play does to a daemon. */
-const STEPS = {
+/** What a step of a random run does to a daemon. */
+const ACTIONS = {
   kill: ({ fleet }, target) => {
     if (!fleet.daemon(target).isStopped) fleet.daemon(target).kill();
   },
@@ -174,35 +183,35 @@
   heal: ({ fleet }) => fleet.network.heal(),
   refuse: ({ store, fleet }, target) => store.refused.add(fleet.name(target)),
   serve: ({ store, fleet }, target) => store.refused.delete(fleet.name(target)),
-} satisfies Record<string, (following: FollowingFleet, target: number, other: number) => unknown>;
+} satisfies Record<string, (watching: WatchingFleet, target: number, other: number) => unknown>;
 
-// Guards against any other way in which an age loses time between daemons.
-test('no daemon takes its view for fresher than it is, whatever ends, stops, is slow or cut off', async (t) => {
+// Guards against any other path on which an age loses time between daemons.
+test('no daemon understates the age of its view while others end, freeze, are slow or cut off', async (t) => {
   const step = fc.record({
-    kind: fc.constantFrom(...(Object.keys(STEPS) as (keyof typeof STEPS)[])),
+    kind: fc.constantFrom(...(Object.keys(ACTIONS) as (keyof typeof ACTIONS)[])),
     target: fc.nat(DAEMONS - 1),
     other: fc.nat(DAEMONS - 1),
     waitMs: fc.integer({ min: 0, max: 1500 }),
   });
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 12 }), async (steps) => {
-      const following = new FollowingFleet();
-      const { fleet } = following;
-      await following.settle(DAEMONS);
-      let overstatedMs = 0;
-      const look = (): void => {
+      const watching = new WatchingFleet();
+      const { fleet } = watching;
+      await watching.settle(DAEMONS);
+      let understatedMs = 0;
+      const observe = (): void => {
         const awake = fleet.running().filter(({ address }) => !fleet.network.isFrozen(address));
-        overstatedMs = Math.max(overstatedMs, ...awake.map((daemon) => following.overstatedMs(daemon)));
+        understatedMs = Math.max(understatedMs, ...awake.map((daemon) => watching.understatedMs(daemon)));
       };
       for (const { kind, target, other, waitMs } of steps) {
-        await STEPS[kind](following, target, other);
-        await following.play(waitMs, 100, look);
+        await ACTIONS[kind](watching, target, other);
+        await watching.run(waitMs, 100, observe);
       }
-      await following.play(2000, 100, look);
-      following.stop();
-      return overstatedMs <= ROUNDING_MS;
+      await watching.run(2000, 100, observe);
+      watching.stop();
+      return understatedMs <= ROUNDING_MS;
     }),
-    { numRuns: PLAYS, seed: SEED },
+    { numRuns: RUNS, seed: SEED },
   );
   t.pass();
 });
--- a/packages/routing/test/fleet/members.test.ts
+++ b/packages/routing/test/fleet/members.test.ts
@@ -1,4 +1,4 @@
-/** What daemons hear of each other leads all of them to the same table, whatever the order. */
+/** The member table: convergence for any order of records, refutation, probing ring and wire format. */
 import { createManualTimers, decode, encode } from '@celeryyoke/core';
 import type { MemberFrame, MemberRecord } from '@celeryyoke/routing';
 import { decodeMember, encodeMember, MemberState, MemberTable } from '@celeryyoke/routing';
@@ -13,7 +13,7 @@
   state: MemberState.Alive,
 };
 
-function makeTable() {
+function createTable() {
   const timers = createManualTimers();
   const changes: MemberRecord[] = [];
   const table = new MemberTable(SELF, timers, (record) => changes.push(record));
@@ -30,13 +30,13 @@
 
 test('the same records in any order and number make the same table', (t) => {
   fc.assert(
-    fc.property(fc.array(records), fc.nat(), (heard, turn) => {
-      // One that has ended is only noted of a member that is known.
+    fc.property(fc.array(records), fc.nat(), (received, rotation) => {
+      // A record of an ended member is only merged when the member is known.
       const known = ['a:1', 'b:1', 'c:1'].map((address) => ({ ...SELF, address, incarnation: 0 }));
-      const [first, second] = [makeTable().table, makeTable().table];
-      for (const record of [...known, ...heard]) first.merge(record);
-      const at = heard.length === 0 ? 0 : turn % heard.length;
-      const other = [...heard.slice(at), ...heard.slice(0, at), ...heard].reverse();
+      const [first, second] = [createTable().table, createTable().table];
+      for (const record of [...known, ...received]) first.merge(record);
+      const at = received.length === 0 ? 0 : rotation % received.length;
+      const other = [...received.slice(at), ...received.slice(0, at), ...received].reverse();
       for (const record of [...known, ...other]) second.merge(record);
       t.deepEqual(first.alive(), second.alive());
       t.is(first.digest(), second.digest());
@@ -45,9 +45,9 @@
   );
 });
 
-test('what is said of this daemon and is wrong is refuted, and stays so', (t) => {
+test('a wrong record of this daemon is refuted, and has no effect when it arrives again', (t) => {
   for (const state of [MemberState.Silent, MemberState.Leaving, MemberState.Ended]) {
-    const { table, changes } = makeTable();
+    const { table, changes } = createTable();
     t.true(table.merge({ ...SELF, state }));
     t.is(table.self.state, MemberState.Alive);
     t.true(table.self.version > SELF.version);
@@ -56,15 +56,15 @@
   }
 });
 
-test('a daemon takes a later incarnation than the one that the others remember', (t) => {
-  const { table } = makeTable();
+test('a daemon raises its incarnation above a later one that the others know', (t) => {
+  const { table } = createTable();
   table.merge({ ...SELF, incarnation: 9, version: 4, state: MemberState.Ended });
   t.is(table.self.incarnation, 10);
   t.is(table.self.state, MemberState.Alive);
 });
 
-test('one that has ended and was forgotten does not come back by an old word', async (t) => {
-  const { timers, table } = makeTable();
+test('an ended member that was removed does not come back by an old record', async (t) => {
+  const { timers, table } = createTable();
   const other: MemberRecord = { ...SELF, address: 'a:1' };
   table.merge(other);
   table.setState('a:1', MemberState.Ended);
@@ -75,8 +75,8 @@
   t.is(table.get('a:1'), undefined);
 });
 
-test('silent members do not count among those that are probed', (t) => {
-  const { table } = makeTable();
+test('silent members do not count towards the number of probed members', (t) => {
+  const { table } = createTable();
   for (let index = 0; index < 20; index += 1) table.merge({ ...SELF, address: `m${index}:1` });
   const first = table.successors(3);
   t.is(first.length, 3);
@@ -89,7 +89,7 @@
   );
 });
 
-test('a record reads as it was written, in few bytes', (t) => {
+test('a record decodes to what was encoded, in few bytes', (t) => {
   const record: MemberRecord = {
     address: '10.1.0.38:8144',
     zone: 'ct-a',
--- a/packages/routing/test/fleet/network.ts
+++ b/packages/routing/test/fleet/network.ts
@@ -1,4 +1,6 @@
-/** Connections between daemons on the virtual clock, which tests can cut, freeze and refuse. */
+/**
+ * An in-memory network between daemons on the virtual clock, in which tests can cut paths and freeze daemons.
+ */
 import type { ManualTimerService, TimerService } from '@celeryyoke/core';
 import { decode, encode } from '@celeryyoke/core';
 import type { LinkEvents, ListenerEvents, PeerChannel, PeerLink, PeerTransport } from '@celeryyoke/routing';
@@ -6,67 +8,68 @@
 
 const LATENCY_MS = 1;
 const CONNECT_TIMEOUT_MS = 600;
-const MAX_UNANSWERED = 3;
-/** How often a callback that is due in a frozen daemon is looked at again, in milliseconds. */
-const FROZEN_LOOK_MS = 10;
+const MAX_UNANSWERED_HEARTBEATS = 3;
+/** Interval at which a callback of a frozen daemon is tried again, in milliseconds. */
+const FROZEN_RETRY_MS = 10;
 
-interface Listening {
+interface ListeningDaemon {
   readonly events: ListenerEvents;
 }
 
-/** Copies a message as the wire would. */
+/** Copies a message as encoding and decoding do. */
 function copy(value: unknown): unknown {
   return decode(encode(value));
 }
 
-/** All connections of a test. */
+/** All daemons and connections of a test, with the faults between them. */
 export class MemoryNetwork {
-  readonly listening = new Map<string, Listening>();
+  readonly listening = new Map<string, ListeningDaemon>();
 
   readonly links = new Set<MemoryLink>();
 
-  /** Messages sent by each daemon, heartbeats and their answers included. */
+  /** Number of messages sent by each daemon, heartbeats and their responses included. */
   readonly sent = new Map<string, number>();
 
-  /** Bytes sent by each daemon. */
+  /** Number of bytes sent by each daemon. */
   readonly bytes = new Map<string, number>();
 
+  /** Paths, as `from>to`, on which messages are held back. */
   private readonly cuts = new Set<string>();
 
   private readonly frozen = new Set<string>();
 
-  /** Time by which daemons handle all that reaches them late, in milliseconds. */
+  /** Delay with which daemons handle what reaches them, in milliseconds. */
   private readonly lags = new Map<string, number>();
 
-  /** Messages that are still to be lost between two daemons. */
-  private readonly losses = new Map<string, number>();
+  /** Number of messages that are still to be lost, by path. */
+  private readonly pendingLosses = new Map<string, number>();
 
-  /** What waits between two daemons until they reach each other again, as it does in a connection. */
-  private readonly held = new Map<string, (() => void)[]>();
+  /** Messages held back until the path works again, by path; a connection would retransmit them. */
+  private readonly undelivered = new Map<string, (() => void)[]>();
 
   constructor(readonly timers: ManualTimerService) {}
 
-  /** Makes the transport of one daemon. */
+  /** Creates the transport of one daemon. */
   transport(self: string): PeerTransport {
     return {
       listen: (events) => {
         this.listening.set(self, { events });
-        return Promise.resolve(() => this.end(self));
+        return Promise.resolve(() => this.endProcess(self));
       },
       connect: (address, events) => new MemoryLink(this, self, address, events),
     };
   }
 
-  /** Ends a process: its port refuses, and all its connections are reset. */
-  end(address: string): void {
+  /** Ends a process: its port refuses connections, and all its connections are reset. */
+  endProcess(address: string): void {
     this.listening.delete(address);
     for (const link of [...this.links]) {
-      if (link.from === address) link.drop();
+      if (link.from === address) link.abort();
       else if (link.to === address) link.finish(LinkEnd.Closed);
     }
   }
 
-  /** Loses everything between two groups, in both directions. */
+  /** Cuts all paths between two groups, in both directions. */
   split(left: readonly string[], right: readonly string[]): void {
     for (const one of left)
       for (const other of right) {
@@ -75,83 +78,86 @@
       }
   }
 
-  /** Loses everything that goes from one daemon to another. */
+  /** Cuts the path from one daemon to another. */
   cut(from: string, to: string): void {
     this.cuts.add(`${from}>${to}`);
   }
 
-  /** Loses the next messages from one daemon to another, on connections that stay. */
+  /** Loses the next messages from one daemon to another; their connections stay established. */
   loseNext(from: string, to: string, count: number): void {
-    this.losses.set(`${from}>${to}`, count);
+    this.pendingLosses.set(`${from}>${to}`, count);
   }
 
-  /** Ends all cuts. */
+  /** Restores all paths. */
   heal(): void {
     this.cuts.clear();
-    this.release();
+    this.deliverHeld();
   }
 
-  /** Stops a process: it does nothing and answers nothing, and its connections stay. */
+  /** Freezes a process: it runs nothing and sends nothing, and its connections stay established. */
   freeze(address: string): void {
     this.frozen.add(address);
   }
 
-  /** Lets a frozen process go on. */
+  /** Resumes a frozen process. */
   thaw(address: string): void {
     this.frozen.delete(address);
-    this.release();
+    this.deliverHeld();
   }
 
-  /** Has a daemon handle all that reaches it late, as one without processor time does. */
+  /** Delays what a daemon handles, as for one that gets little processor time. */
   slow(address: string, lagMs: number): void {
     this.lags.set(address, lagMs);
   }
 
-  /** Time by which a daemon handles what reaches it late, in milliseconds. */
+  /** Delay with which a daemon handles what reaches it, in milliseconds. */
   lagOf(address: string): number {
     return this.lags.get(address) ?? 0;
   }
 
-  /** Has something happen in a process, after it goes on if it is frozen. */
+  /** Runs a callback in a process, after it resumes if it is frozen. */
   whenRunning(address: string, callback: () => void): void {
     if (!this.isFrozen(address)) callback();
-    else this.timers.after(FROZEN_LOOK_MS, () => this.whenRunning(address, callback));
+    else this.timers.after(FROZEN_RETRY_MS, () => this.whenRunning(address, callback));
   }
 
   isFrozen(address: string): boolean {
     return this.frozen.has(address);
   }
 
-  /** Carries a message; while it can't arrive it waits, and all later ones behind it. */
-  carry(from: string, to: string, body: unknown, deliver: () => void): void {
+  /** Transmits a message. While it can't be delivered it is held back, with all later ones on its path. */
+  transmit(from: string, to: string, body: unknown, deliver: () => void): void {
     if (this.frozen.has(from)) return;
     this.sent.set(from, (this.sent.get(from) ?? 0) + 1);
     this.bytes.set(from, (this.bytes.get(from) ?? 0) + encode(body).length + 4);
     this.timers.after(LATENCY_MS + this.lagOf(to), () => this.arrive(`${from}>${to}`, to, deliver));
   }
 
-  private arrive(way: string, to: string, deliver: () => void): void {
-    const toLose = this.losses.get(way) ?? 0;
-    if (toLose > 0) {
-      this.losses.set(way, toLose - 1);
+  private arrive(path: string, to: string, deliver: () => void): void {
+    const remainingLosses = this.pendingLosses.get(path) ?? 0;
+    if (remainingLosses > 0) {
+      this.pendingLosses.set(path, remainingLosses - 1);
       return;
     }
-    const held = this.held.get(way) ?? [];
-    if (held.length === 0 && !this.cuts.has(way) && !this.frozen.has(to)) deliver();
-    else this.held.set(way, [...held, deliver]);
+    const queued = this.undelivered.get(path) ?? [];
+    if (queued.length === 0 && !this.cuts.has(path) && !this.frozen.has(to)) deliver();
+    else this.undelivered.set(path, [...queued, deliver]);
   }
 
-  private release(): void {
-    for (const [way, held] of [...this.held]) {
-      const to = way.slice(way.indexOf('>') + 1);
-      if (this.cuts.has(way) || this.frozen.has(to)) continue;
-      this.held.delete(way);
-      for (const deliver of held) deliver();
+  private deliverHeld(): void {
+    for (const [path, queued] of [...this.undelivered]) {
+      const to = path.slice(path.indexOf('>') + 1);
+      if (this.cuts.has(path) || this.frozen.has(to)) continue;
+      this.undelivered.delete(path);
+      for (const deliver of queued) deliver();
     }
   }
 }
 
-/** Time of one daemon: what becomes due while it is frozen runs when it goes on. */
+/**
+ * Timers of one daemon: callbacks that are due while it is frozen run when it resumes, repeated ones are
+ * skipped.
+ */
 export function timersOf(network: MemoryNetwork, self: string): TimerService {
   const { timers } = network;
   return {
@@ -164,12 +170,12 @@
   };
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly resolve: (value: unknown) => void;
   readonly reject: (err: Error) => void;
 }
 
-/** A connection. */
+/** A link between two daemons, with the behaviour of the link over TCP. */
 export class MemoryLink implements PeerLink {
   isUp = false;
 
@@ -177,17 +183,17 @@
 
   lastUsedAt: number;
 
-  private unanswered = 0;
+  private unansweredHeartbeats = 0;
 
   private hasEnded = false;
 
-  private next = 1;
+  private nextRequestId = 1;
 
-  private readonly waiting = new Map<number, Waiting>();
+  private readonly pendingRequests = new Map<number, PendingRequest>();
 
   private readonly channel: PeerChannel & { isOpen: boolean };
 
-  private early: (() => void)[] = [];
+  private buffered: (() => void)[] = [];
 
   constructor(
     private readonly network: MemoryNetwork,
@@ -199,14 +205,14 @@
     this.lastReceivedAt = timers.now();
     this.lastUsedAt = this.lastReceivedAt;
     network.links.add(this);
-    this.channel = { isOpen: true, push: (frame) => this.carryPush(frame) };
+    this.channel = { isOpen: true, push: (frame) => this.pushToOpener(frame) };
     const hello = copy(events.hello());
     timers.after(CONNECT_TIMEOUT_MS, () => {
       if (!this.isUp) this.finish(LinkEnd.Silent);
     });
-    network.carry(from, to, null, () => {
-      if (network.listening.has(to)) network.carry(to, from, null, () => this.open(hello));
-      else network.carry(to, from, null, () => this.finish(LinkEnd.Refused));
+    network.transmit(from, to, null, () => {
+      if (network.listening.has(to)) network.transmit(to, from, null, () => this.open(hello));
+      else network.transmit(to, from, null, () => this.finish(LinkEnd.Refused));
     });
   }
 
@@ -218,29 +224,29 @@
   request(type: MessageType, body: unknown, timeoutMs: number): Promise<unknown> {
     if (this.hasEnded) return Promise.reject(new Error('The link has ended.'));
     this.lastUsedAt = this.network.timers.now();
-    const number = this.next;
-    this.next += 1;
+    const requestId = this.nextRequestId;
+    this.nextRequestId += 1;
     return new Promise((resolve, reject) => {
-      this.waiting.set(number, { resolve, reject });
+      this.pendingRequests.set(requestId, { resolve, reject });
       this.network.timers.after(timeoutMs, () => {
-        if (this.waiting.delete(number)) reject(new Error('no answer'));
+        if (this.pendingRequests.delete(requestId)) reject(new Error('no response'));
       });
-      this.deliver(type, number, body);
+      this.deliver(type, requestId, body);
     });
   }
 
   heartbeat(): void {
     if (!this.isUp) return;
-    if (this.unanswered >= MAX_UNANSWERED) {
+    if (this.unansweredHeartbeats >= MAX_UNANSWERED_HEARTBEATS) {
       this.finish(LinkEnd.Silent);
       return;
     }
-    this.unanswered += 1;
-    this.network.carry(this.from, this.to, MessageType.Heartbeat, () => {
+    this.unansweredHeartbeats += 1;
+    this.network.transmit(this.from, this.to, MessageType.Heartbeat, () => {
       const digest = this.network.listening.get(this.to)?.events.digest();
       if (digest === undefined) return;
-      this.network.carry(this.to, this.from, [0, digest], () => {
-        this.hear();
+      this.network.transmit(this.to, this.from, [0, digest], () => {
+        this.recordReceived();
         if (!this.hasEnded) this.events.onDigest(digest);
       });
     });
@@ -248,28 +254,28 @@
 
   close(): void {
     if (this.hasEnded) return;
-    this.drop();
+    this.abort();
     this.closeRemote(true);
   }
 
-  /** Its own process has ended. */
-  drop(): void {
+  /** Ends the link without events, as the process that opened it closes it or has ended. */
+  abort(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     this.isUp = false;
     this.network.links.delete(this);
-    this.fail();
+    this.rejectPending();
     if (!this.network.listening.has(this.from)) this.closeRemote(false);
   }
 
-  /** It ends for the daemon that opened it. */
+  /** Ends the link with an event to the daemon that opened it. */
   finish(end: LinkEnd): void {
     if (this.hasEnded) return;
     const wasUp = this.isUp;
     this.hasEnded = true;
     this.isUp = false;
     this.network.links.delete(this);
-    this.fail();
+    this.rejectPending();
     this.closeRemote(false);
     this.network.whenRunning(this.from, () => this.events.onEnd(end, wasUp));
   }
@@ -277,69 +283,69 @@
   private open(hello: unknown): void {
     if (this.hasEnded) return;
     this.isUp = true;
-    this.hear();
+    this.recordReceived();
     this.network.listening.get(this.to)?.events.onHello(hello);
-    for (const write of this.early) write();
-    this.early = [];
+    for (const write of this.buffered) write();
+    this.buffered = [];
   }
 
-  private deliver(type: MessageType, number: number, body: unknown): void {
+  private deliver(type: MessageType, requestId: number, body: unknown): void {
     const write = (): void => {
       const message = copy(body);
-      this.network.carry(this.from, this.to, [type, number, body], () => {
-        void this.answer(type, number, message);
+      this.network.transmit(this.from, this.to, [type, requestId, body], () => {
+        void this.respond(type, requestId, message);
       });
     };
     if (this.isUp) write();
-    else this.early.push(write);
+    else this.buffered.push(write);
   }
 
-  private async answer(type: MessageType, number: number, body: unknown): Promise<void> {
+  private async respond(type: MessageType, requestId: number, body: unknown): Promise<void> {
     const remote = this.network.listening.get(this.to);
     if (remote === undefined || this.hasEnded) return;
     try {
       const result: unknown = await remote.events.onMessage(this.from, type, body, this.channel);
-      if (number > 0) this.settle(number, (waiting) => waiting.resolve(copy(result ?? null)), result);
+      if (requestId > 0) this.settle(requestId, (pending) => pending.resolve(copy(result ?? null)), result);
     } catch (err) {
-      if (number > 0) this.settle(number, (waiting) => waiting.reject(err as Error), String(err));
+      if (requestId > 0) this.settle(requestId, (pending) => pending.reject(err as Error), String(err));
     }
   }
 
-  private settle(number: number, settle: (waiting: Waiting) => void, body: unknown): void {
-    this.network.carry(this.to, this.from, body, () => {
-      this.hear();
-      const waiting = this.waiting.get(number);
-      this.waiting.delete(number);
-      if (waiting !== undefined) settle(waiting);
+  private settle(requestId: number, settle: (pending: PendingRequest) => void, body: unknown): void {
+    this.network.transmit(this.to, this.from, body, () => {
+      this.recordReceived();
+      const pending = this.pendingRequests.get(requestId);
+      this.pendingRequests.delete(requestId);
+      if (pending !== undefined) settle(pending);
     });
   }
 
-  private carryPush(frame: Buffer): void {
+  private pushToOpener(frame: Buffer): void {
     if (!this.channel.isOpen || this.hasEnded) return;
     const [[, body]] = [...new FrameReader().read(frame)] as [[number, unknown]];
-    this.network.carry(this.to, this.from, body, () => {
+    this.network.transmit(this.to, this.from, body, () => {
       if (this.hasEnded) return;
-      this.hear();
+      this.recordReceived();
       this.lastUsedAt = this.lastReceivedAt;
       this.events.onPush(body);
     });
   }
 
-  private hear(): void {
+  private recordReceived(): void {
     this.lastReceivedAt = this.network.timers.now();
-    this.unanswered = 0;
+    this.unansweredHeartbeats = 0;
   }
 
   private closeRemote(isOrderly: boolean): void {
     if (!this.channel.isOpen) return;
     this.channel.isOpen = false;
-    this.network.carry(this.from, this.to, null, () =>
+    this.network.transmit(this.from, this.to, null, () =>
       this.network.listening.get(this.to)?.events.onClose(this.from, this.channel, isOrderly),
     );
   }
 
-  private fail(): void {
-    for (const { reject } of this.waiting.values()) reject(new Error('The link has ended.'));
-    this.waiting.clear();
+  private rejectPending(): void {
+    for (const { reject } of this.pendingRequests.values()) reject(new Error('The link has ended.'));
+    this.pendingRequests.clear();
   }
 }
--- a/packages/routing/test/fleet/store.ts
+++ b/packages/routing/test/fleet/store.ts
@@ -1,4 +1,4 @@
-/** A platform's store on the virtual clock, as each daemon of a test reaches it. */
+/** The platform's store on the virtual clock, with faults for each daemon. */
 import type { TimerService } from '@celeryyoke/core';
 import type { Change, Delta, RecordSource } from '@celeryyoke/routing';
 import { RecordKind } from '@celeryyoke/routing';
@@ -6,22 +6,23 @@
 import { engineEntry } from '../fakes.js';
 import type { MemoryNetwork } from './network.js';
 
+/** Time in transit of a call or its response, in milliseconds. */
 const LATENCY_MS = 2;
-/** How often a watch that waits looks for changes, in milliseconds. */
-const LOOK_MS = 5;
-/** First revision, which all daemons can read from the start. */
+/** Interval at which a waiting watch checks for changes, in milliseconds. */
+const POLL_INTERVAL_MS = 5;
+/** First revision, which exists from the start. */
 const FIRST_REVISION = 1;
 
-/** Revisions and when they were written. */
+/** Records with consecutive revisions, and when they were written. */
 export class TestStore {
   private readonly changes: Change[] = [];
 
   private readonly writtenAt = new Map<number, number>();
 
-  /** Daemons that get no answer. */
+  /** Daemons whose calls get no response. */
   readonly unreachable = new Set<string>();
 
-  /** Watches that were begun. */
+  /** Number of watches that were started. */
   watches = 0;
 
   /** Daemons whose calls are refused at once. */
@@ -38,7 +39,7 @@
     return this.changes.length;
   }
 
-  /** Writes a record; the result is its revision. */
+  /** Writes a record and returns its revision. */
   write(): number {
     const revision = this.revision + FIRST_REVISION;
     const record = { kind: RecordKind.Replica as const, replica: engineEntry(`e${revision}`) };
@@ -47,13 +48,13 @@
     return revision;
   }
 
-  /** How long ago a view that is complete up to a revision ceased to be the newest one, in milliseconds. */
+  /** Time for which a view that is complete up to a revision has lacked a change, in milliseconds. */
   staleMs(upTo: number): number {
     const nextAt = this.writtenAt.get(upTo + 1);
     return nextAt === undefined ? 0 : this.timers.now() - nextAt;
   }
 
-  /** The store as one daemon reaches it; a slow daemon handles answers late. */
+  /** Returns the store as one daemon reaches it; a slow daemon handles responses late. */
   sourceOf(daemon: string): RecordSource {
     return {
       list: (signal) =>
@@ -65,7 +66,7 @@
         if (this.refused.has(daemon)) return this.refuse(daemon);
         const endAt = this.timers.now() + LATENCY_MS + waitMs;
         while (this.revision <= after && this.timers.now() < endAt && !signal.aborted)
-          await this.timers.sleep(LOOK_MS);
+          await this.timers.sleep(POLL_INTERVAL_MS);
         return this.answer(daemon, signal, () => this.delta(after, false));
       },
     };
--- a/packages/routing/test/fleet/topology.test.ts
+++ b/packages/routing/test/fleet/topology.test.ts
@@ -1,9 +1,11 @@
-/** Where a daemon subscribes: one root, one feed into each failure domain, few children each. */
+/**
+ * Topology of the dissemination tree: one root, one subscription into each failure domain, bounded fan-out.
+ */
 import { chooseParent, FAN_OUT, readingRank } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
-const nameOf = (zone: number, index: number): string => `10.${zone}.0.${100 + index}:1`;
+const addressOf = (zone: number, index: number): string => `10.${zone}.0.${100 + index}:1`;
 const zoneOf = (address: string): string => address.split('.')[1]!;
 
 function parentsOf(alive: readonly string[], excluded: ReadonlySet<string> = new Set()) {
@@ -14,10 +16,10 @@
 const fleets = fc
   .array(fc.integer({ min: 1, max: 90 }), { minLength: 1, maxLength: 6 })
   .map((sizes) =>
-    sizes.flatMap((size, zone) => Array.from({ length: size }, (_, index) => nameOf(zone, index))).sort(),
+    sizes.flatMap((size, zone) => Array.from({ length: size }, (_, index) => addressOf(zone, index))).sort(),
   );
 
-test('every daemon hangs on one root, over few steps, and no daemon has many children', (t) => {
+test('all daemons reach one root over few levels, and no daemon has many children', (t) => {
   fc.assert(
     fc.property(fleets, (alive) => {
       const parents = parentsOf(alive);
@@ -29,9 +31,9 @@
           continue;
         }
         children.set(parent, (children.get(parent) ?? 0) + 1);
-        let steps = 1;
-        for (let at: string = parent; at !== alive[0]; steps += 1) at = parents.get(at)!;
-        t.true(steps <= 6, `${steps} steps`);
+        let depth = 1;
+        for (let at: string = parent; at !== alive[0]; depth += 1) at = parents.get(at)!;
+        t.true(depth <= 6, `${depth} levels`);
       }
       for (const [address, count] of children)
         t.true(count <= FAN_OUT + (address === alive[0] ? zones - 1 : 0));
@@ -39,7 +41,7 @@
   );
 });
 
-test('a row crosses into each failure domain once', (t) => {
+test('a row crosses between failure domains once for each domain besides the root’s', (t) => {
   fc.assert(
     fc.property(fleets, (alive) => {
       const crossing = [...parentsOf(alive)].filter(
@@ -50,21 +52,21 @@
   );
 });
 
-test('where the root failed, another failure domain is tried before its neighbours', (t) => {
-  const alive = [nameOf(1, 0), nameOf(1, 1), nameOf(2, 0), nameOf(2, 1)];
-  const parents = parentsOf(alive, new Set([nameOf(1, 0)]));
-  t.is(parents.get(nameOf(2, 0)), undefined);
-  t.is(parents.get(nameOf(1, 1)), nameOf(2, 0));
-  t.is(parents.get(nameOf(2, 1)), nameOf(2, 0));
+test('after the root has failed, a root in another failure domain is preferred', (t) => {
+  const alive = [addressOf(1, 0), addressOf(1, 1), addressOf(2, 0), addressOf(2, 1)];
+  const parents = parentsOf(alive, new Set([addressOf(1, 0)]));
+  t.is(parents.get(addressOf(2, 0)), undefined);
+  t.is(parents.get(addressOf(1, 1)), addressOf(2, 0));
+  t.is(parents.get(addressOf(2, 1)), addressOf(2, 0));
 });
 
-test('a daemon that is leaving is still fed', (t) => {
-  const alive = [nameOf(1, 0), nameOf(1, 1)];
-  const parent = chooseParent({ self: nameOf(1, 2), alive, zoneOf, isExcluded: () => false });
-  t.is(parent, nameOf(1, 0));
+test('a leaving daemon still has a parent', (t) => {
+  const alive = [addressOf(1, 0), addressOf(1, 1)];
+  const parent = chooseParent({ self: addressOf(1, 2), alive, zoneOf, isExcluded: () => false });
+  t.is(parent, addressOf(1, 0));
 });
 
-test('those that feed a failure domain read the platform before all others, the root first', (t) => {
+test('the root ranks first for reading the store, then one daemon of each other failure domain', (t) => {
   fc.assert(
     fc.property(fleets, (alive) => {
       const ranks = alive.map((self) => readingRank(self, alive, zoneOf));
@@ -73,8 +75,8 @@
         alive.map((_, index) => index),
       );
       const zones = new Set(alive.map(zoneOf)).size;
-      const firsts = alive.filter((_, index) => ranks[index]! < zones);
-      t.is(new Set(firsts.map(zoneOf)).size, zones);
+      const feeders = alive.filter((_, index) => ranks[index]! < zones);
+      t.is(new Set(feeders.map(zoneOf)).size, zones);
       t.is(ranks[0], 0);
     }),
   );
--- a/packages/routing/test/frames.test.ts
+++ b/packages/routing/test/frames.test.ts
@@ -1,11 +1,11 @@
-/** Frames between daemons: whatever is sent comes out, a configuration with many routes is small, bad bytes end the link. */
+/** Frames between daemons: decoding from arbitrary chunks, compression, and invalid or oversized input. */
 import { encodeFrame, FrameReader } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
 import { sampleDocument } from './fakes.js';
 
-test('values come out as they were sent, however the bytes are cut', (t) => {
+test('values decode to what was encoded, however the bytes are split into chunks', (t) => {
   const values = fc.array(fc.oneof(fc.jsonValue(), fc.string({ maxLength: 20_000 })), { maxLength: 5 });
   fc.assert(
     fc.property(values, fc.array(fc.integer({ min: 1, max: 9000 }), { minLength: 1 }), (sent, cuts) => {
@@ -25,7 +25,7 @@
   t.pass();
 });
 
-test('a configuration that has grown by 1,700 routes takes a small link less than a tenth of a second', (t) => {
+test('a configuration that has grown by 1,700 routes takes less than 0.1 s at 10 Mbit/s', (t) => {
   const document = sampleDocument(2);
   const routes = Array.from({ length: 1700 }, (_, index) => ({
     ...document.routes[index % document.routes.length]!,
@@ -37,7 +37,7 @@
   t.true(frame.length / bytesPerSecond < 0.1, `${frame.length} bytes`);
 });
 
-test('bytes that are no frame end the link and nothing else', (t) => {
+test('invalid bytes cause an error at most', (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ minLength: 4, maxLength: 200 }), (bytes) => {
       const reader = new FrameReader();
@@ -51,7 +51,7 @@
   t.pass();
 });
 
-test('a small frame that would grow beyond all bounds is refused', (t) => {
+test('a small frame that would decompress to more than the largest body is refused', (t) => {
   const frame = encodeFrame('x'.repeat(9 * 1024 * 1024));
   t.true(frame.length < 200_000);
   t.throws(() => [...new FrameReader().read(frame)]);
