--- a/packages/routing/src/core/accounts/account-owners.ts
+++ b/packages/routing/src/core/accounts/account-owners.ts
@@ -1,5 +1,5 @@
 /** Assigns each client account to the daemon that owns its bucket. */
-import { firstFor } from '../ownership/index.js';
+import { rendezvousOwner } from '../ownership/index.js';
 
 /**
  * Owners of accounts among the daemons that this daemon knows to be alive; cached until that list changes.
@@ -24,7 +24,7 @@
     }
     const cached = this.ownerByAccount.get(account);
     if (cached !== undefined) return cached;
-    const owner = firstFor(account, alive) ?? '';
+    const owner = rendezvousOwner(account, alive) ?? '';
     this.ownerByAccount.set(account, owner);
     return owner;
   }
--- a/packages/routing/src/core/adapters/loader.ts
+++ b/packages/routing/src/core/adapters/loader.ts
@@ -79,7 +79,7 @@
     const slots =
       lease.holder === self
         ? await this.ensureHere(wanted)
-        : await cluster.request(lease.holder, MessageType.Ensure, wanted, urgency.timeoutMs);
+        : await cluster.request(lease.holder, MessageType.EnsureAdapter, wanted, urgency.timeoutMs);
     // MessagePack has no undefined.
     if (slots === undefined || slots === null) return true;
     residency.updateSlots(slots as SlotAvailability);
@@ -128,8 +128,8 @@
       isFenced,
       timers,
       log,
-      authority: () => leases.authority(replica.id),
-      onFenced: (token) => leases.refused(replica.id, token),
+      authority: () => leases.tokenForOrder(replica.id),
+      onFenced: (token) => leases.handleRefusedToken(replica.id, token),
       onHoldings: (residency) => this.tell(residency),
       onStart: (bornAt) => this.tellStart(replica, bornAt),
     });
--- a/packages/routing/src/core/cluster/cluster.ts
+++ b/packages/routing/src/core/cluster/cluster.ts
@@ -233,7 +233,7 @@
   }
 
   /** Records of all known members, ended ones included. */
-  records(): MemberRecord[] {
+  memberRecords(): MemberRecord[] {
     return this.members.records();
   }
 
@@ -259,7 +259,7 @@
   }
 
   /** Number of established links of this daemon. */
-  get links(): number {
+  get openLinkCount(): number {
     let count = 0;
     for (const { link } of this.outgoingLinks.values()) if (link?.isUp) count += 1;
     return count;
@@ -268,7 +268,7 @@
   /**
    * Time since bytes were received over any established link, in milliseconds; Infinity when there is none.
    */
-  heardAgoMs(): number {
+  sinceLastReceivedMs(): number {
     let lastReceivedAt = Number.NEGATIVE_INFINITY;
     for (const { link } of this.outgoingLinks.values())
       if (link?.isUp) lastReceivedAt = Math.max(lastReceivedAt, link.lastReceivedAt);
--- a/packages/routing/src/core/cluster/types.ts
+++ b/packages/routing/src/core/cluster/types.ts
@@ -47,11 +47,11 @@
   /** Requests the changes of the platform's view since a revision. */
   ViewChanges = 8,
   /** Requests the owner of an engine to load an adapter there. */
-  Ensure = 9,
+  EnsureAdapter = 9,
   /** Requests the owner of an engine to admit a prompt. */
-  Admission = 10,
+  AdmitPrompt = 10,
   /** Reports the sender's requests in flight on engines that the receiver owns. */
-  InFlight = 11,
+  InFlightReport = 11,
   /** Requests the age of the last batch of a root. */
   RootAge = 12,
   /** Requests the owner of an account to charge a request. */
@@ -61,7 +61,7 @@
   /** Requests the receiver's monotonic time. */
   Clock = 15,
   /** Requests permission to send an attempt to a replica that states a rate limit. */
-  SendPermit = 16,
+  AttemptPermit = 16,
 }
 
 /** The accepting end of a connection, over which messages can be pushed to the daemon that opened it. */
--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -132,7 +132,7 @@
   private send(reports: ReadonlyMap<string, ReportDraft>, isWhole: boolean): void {
     for (const [owner, { replicas, adapters }] of reports) {
       const report: InFlightReport = { isWhole, replicas, adapters };
-      this.options.cluster.send(owner, MessageType.InFlight, encodeInFlight(report));
+      this.options.cluster.send(owner, MessageType.InFlightReport, encodeInFlight(report));
     }
   }
 }
--- a/packages/routing/src/core/daemon/metrics.ts
+++ b/packages/routing/src/core/daemon/metrics.ts
@@ -36,17 +36,21 @@
   metrics.sample('router_view_age_ms', 'Age of what is known of the platform.', () => view.ageMs);
   metrics.sample('router_config_version', 'Version of the configuration in force.', configVersion);
   metrics.sample('router_peers_alive', 'Living daemons, this one included.', () => cluster.alive().length);
-  metrics.sample('router_peer_links', 'Links that this daemon has open to others.', () => cluster.links);
+  metrics.sample(
+    'router_peer_links',
+    'Links that this daemon has open to others.',
+    () => cluster.openLinkCount,
+  );
   metrics.sample('router_state_age_ms', 'Age of the last batch of shared state.', () => tree.ageMs);
   metrics.sample(
     'router_state_subscribers',
     'Daemons that get the shared state from this one.',
-    () => tree.subscribers,
+    () => tree.subscriberCount,
   );
   metrics.sample(
     'router_engines_owned',
     'Engines that this daemon gives orders to.',
-    () => leases.mine().length,
+    () => leases.ownLeases().length,
   );
   metrics.sample(
     'router_connections_total',
@@ -63,7 +67,7 @@
   metrics.sample(
     'router_event_loop_delay_ms',
     'Longest delay of the event loop since the last reading.',
-    () => pauses.takeLongestDelay(),
+    () => pauses.takeLongestDelayMs(),
   );
   registerProcessCost(metrics);
 }
--- a/packages/routing/src/core/daemon/peer-protocol.ts
+++ b/packages/routing/src/core/daemon/peer-protocol.ts
@@ -64,9 +64,9 @@
     tree.register(Topic.EngineLease, this.leaseTopic());
     tree.register(Topic.EngineLoad, this.loadTopic());
     tree.register(Topic.Residency, this.residencyTopic());
-    tree.register(Topic.Start, this.startTopic());
-    cluster.handle(MessageType.Ensure, (_from, wanted: EnsureWanted) => loader.ensureHere(wanted));
-    cluster.handle(MessageType.InFlight, ({ address }, frame: InFlightFrame) =>
+    tree.register(Topic.ReplicaStart, this.startTopic());
+    cluster.handle(MessageType.EnsureAdapter, (_from, wanted: EnsureWanted) => loader.ensureHere(wanted));
+    cluster.handle(MessageType.InFlightReport, ({ address }, frame: InFlightFrame) =>
       this.mergeReport(address, decodeInFlight(frame)),
     );
     registry.onReplica((id, entry) => {
@@ -107,7 +107,7 @@
     loader.refreshRunning((replica) => inFlight.runningByAdapter(replica));
     const slots = new Map(loader.slots().map((availability) => [availability.replica, availability]));
     const now = timers.now();
-    for (const { replica, token } of leases.mine()) {
+    for (const { replica, token } of leases.ownLeases()) {
       const { freeSlots, queued } = slots.get(replica) ?? { freeSlots: 0, queued: 0 };
       const row = { replica, token, sequence: 0, freeSlots, queued, ...inFlight.sum(replica) };
       const last = this.lastPublished.get(replica);
@@ -140,7 +140,7 @@
       isUrgent: true,
       keyOf: ({ address }) => address,
       merge: (record) => cluster.merge(record),
-      snapshot: () => cluster.records(),
+      snapshot: () => cluster.memberRecords(),
       encode: encodeMember,
       decode: (frame) => decodeMember(frame as MemberFrame),
     };
@@ -152,11 +152,11 @@
       isUrgent: true,
       keyOf: ({ replica }) => replica,
       merge: (lease) => {
-        const isNew = leases.take(lease);
+        const isNew = leases.merge(lease);
         if (isNew) reporter.reportToOwner(lease.replica);
         return isNew;
       },
-      snapshot: () => leases.all(),
+      snapshot: () => leases.allLeases(),
       encode: ({ replica, holder, token }) => [replica, holder, token],
       decode: (frame) => {
         const [replica, holder, token] = frame as [string, string, number];
--- a/packages/routing/src/core/daemon/router.ts
+++ b/packages/routing/src/core/daemon/router.ts
@@ -60,7 +60,7 @@
     const startedAt = timers.now();
     const requests = this.get<RequestServer>(PART.requests);
     log.info(`Stopping ${settings.name} (${cause}) with ${requests.running} requests in progress.`);
-    this.get<EngineLeases>(PART.leases).leave();
+    this.get<EngineLeases>(PART.leases).stopClaiming();
     const cluster = this.get<Cluster>(PART.cluster);
     cluster.leave();
     requests.drain();
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -18,7 +18,7 @@
 import type { MemberRecord } from '../cluster/index.js';
 import { Cluster, createTcpTransport, MemberState } from '../cluster/index.js';
 import { ReplicaLimits } from '../limits/index.js';
-import { DisseminationTree, readingRank, Topic } from '../dissemination/index.js';
+import { DisseminationTree, storeReaderRank, Topic } from '../dissemination/index.js';
 import { PromptAdmission } from '../pacing/index.js';
 import { CallerTimeouts, StreamMigrator, RequestMetrics, RequestServer } from '../requests/index.js';
 import { FleetShare } from '../shares/index.js';
@@ -252,7 +252,7 @@
       timers,
       log,
       recent: () => residency.allRecent(),
-      takeRecent: (replica, keys) => residency.takeRecent(replica, keys),
+      mergeRecent: (replica, keys) => residency.takeRecent(replica, keys),
     });
   }
 
@@ -319,7 +319,7 @@
     const tree = kernel.get<DisseminationTree>(PART.tree);
     return new FleetSettling({
       alive: () => cluster.alive(),
-      isInformed: () => tree.isPlaced,
+      hasSharedState: () => tree.isPlaced,
       timers: this.options.timers,
     });
   }
@@ -360,7 +360,8 @@
   /** Whether this daemon has recently received messages from its peers and the shared state. */
   private isUpToDate(): boolean {
     const cluster = this.get<Cluster>(PART.cluster);
-    const hasRecentMessages = cluster.alive().length <= 1 || cluster.heardAgoMs() < MAX_FLEET_VIEW_AGE_MS;
+    const hasRecentMessages =
+      cluster.alive().length <= 1 || cluster.sinceLastReceivedMs() < MAX_FLEET_VIEW_AGE_MS;
     return hasRecentMessages && this.get<DisseminationTree>(PART.tree).ageMs < MAX_FLEET_VIEW_AGE_MS;
   }
 
@@ -417,7 +418,7 @@
       timers,
       log,
       publishHoldings: (residency) => this.get<PeerProtocol>(PART.protocol).publishResidency(residency),
-      publishStart: (start) => this.get<DisseminationTree>(PART.tree).publish(Topic.Start, start),
+      publishStart: (start) => this.get<DisseminationTree>(PART.tree).publish(Topic.ReplicaStart, start),
     });
     const channels = kernel.get<ChannelPool>(PART.channels);
     const inFlight = kernel.get<InFlightTable>(PART.inFlight);
@@ -449,7 +450,7 @@
       view,
       source,
       timers,
-      rank: () => readingRank(self, cluster.alive(), (address) => cluster.member(address)?.zone),
+      rank: () => storeReaderRank(self, cluster.alive(), (address) => cluster.member(address)?.zone),
       isAlone: () => cluster.alive().length <= 1,
       isFirstStart: this.options.settings.isFirstStart,
       random: Math.random,
@@ -636,7 +637,7 @@
   return (kernel) => {
     const leases = kernel.get<EngineLeases>(PART.leases);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    return timers.repeat(LEASE_REVIEW_MS, () => leases.review(enginesOf(registry)));
+    return timers.repeat(LEASE_REVIEW_MS, () => leases.claimUnowned(enginesOf(registry)));
   };
 }
 
--- a/packages/routing/src/core/dissemination/index.ts
+++ b/packages/routing/src/core/dissemination/index.ts
@@ -2,7 +2,7 @@
 export type { Batch, SubscriptionResponse } from './batch.js';
 export { decodeBatch, encodeBatch } from './batch.js';
 export { ParentClock } from './parent-clock.js';
-export { FAN_OUT, chooseParent, readingRank } from './topology.js';
+export { FAN_OUT, chooseParent, storeReaderRank } from './topology.js';
 export type { TopologyInput } from './topology.js';
 export { DisseminationTree } from './tree.js';
 export type { DisseminationOptions } from './tree.js';
--- a/packages/routing/src/core/dissemination/topology.ts
+++ b/packages/routing/src/core/dissemination/topology.ts
@@ -49,7 +49,7 @@
  * @param zoneOf - Failure domain of a member.
  * @returns The rank, from 0 for the root; below 0 when the daemon is not among the living.
  */
-export function readingRank(
+export function storeReaderRank(
   self: string,
   alive: readonly string[],
   zoneOf: (address: string) => string | undefined,
--- a/packages/routing/src/core/dissemination/tree.ts
+++ b/packages/routing/src/core/dissemination/tree.ts
@@ -81,7 +81,7 @@
   /** Adapters that were resident on engines recently, for daemons that subscribe. */
   readonly recent: () => SubscriptionResponse['recent'];
   /** Merges what a parent reports as recently resident on an engine. */
-  readonly takeRecent: (replica: string, keys: readonly string[]) => void;
+  readonly mergeRecent: (replica: string, keys: readonly string[]) => void;
 }
 
 /**
@@ -192,7 +192,7 @@
   }
 
   /** Number of daemons that subscribe to this one. */
-  get subscribers(): number {
+  get subscriberCount(): number {
     return this.subscriberTable.size;
   }
 
@@ -432,7 +432,7 @@
 
   /** Whether this daemon keeps a working position for now although the membership assigns it another one. */
   private keepsPosition(now: number): boolean {
-    if (this.isRoot && this.subscribers === 0) return false;
+    if (this.isRoot && this.subscriberCount === 0) return false;
     if (!this.isRoot && this.parent === undefined) return false;
     const delayMs = this.isRoot ? ROOT_REPOSITION_DELAY_MS : REPOSITION_DELAY_MS;
     return now - (this.outOfPositionSince ?? now) < delayMs;
@@ -524,7 +524,7 @@
     { rows, delta, recent, upTo, ageMs, clock }: SubscriptionResponse,
     sentAt: number,
   ): void {
-    const { view, timers, takeRecent } = this.options;
+    const { view, timers, mergeRecent } = this.options;
     this.isSubscribed = true;
     this.parentBatchAt = timers.now();
     this.rootBatchAt = this.parentBatchAt;
@@ -535,7 +535,7 @@
         : this.parentClock.maxElapsedMs(clock, this.parentBatchAt);
     this.viewFeed.markSent(upTo);
     this.mergeFromParent(rows);
-    for (const [replica, keys] of recent) takeRecent(replica, keys);
+    for (const [replica, keys] of recent) mergeRecent(replica, keys);
     if (delta !== undefined && delta !== null) view.apply(delta);
     if (ageMs >= 0) view.confirmUpToDate(upTo, ageMs + transitMs);
     // Subscribers may lack rows that this daemon already had from elsewhere, so all rows of the response are
--- a/packages/routing/src/core/dissemination/types.ts
+++ b/packages/routing/src/core/dissemination/types.ts
@@ -11,7 +11,7 @@
   /** Adapters that are resident on an engine. */
   Residency = 4,
   /** Process starts of replicas that are not yet in the platform's view. */
-  Start = 5,
+  ReplicaStart = 5,
   /** Quota buckets of client accounts. */
   AccountQuota = 6,
   /** Rate limits that replicas state. */
--- a/packages/routing/src/core/limits/replica-limits.ts
+++ b/packages/routing/src/core/limits/replica-limits.ts
@@ -11,7 +11,7 @@
 import { MessageType } from '../cluster/index.js';
 import type { DisseminationTree, TopicHandler } from '../dissemination/index.js';
 import { Topic } from '../dissemination/index.js';
-import { firstFor } from '../ownership/index.js';
+import { rendezvousOwner } from '../ownership/index.js';
 import type { FleetShare } from '../shares/index.js';
 import type { ReplicaRegistry } from '../view/index.js';
 import type { LimitFrame, PermitFrame } from './limit-codec.js';
@@ -60,7 +60,7 @@
   constructor(private readonly options: ReplicaLimitsOptions) {
     const { cluster, tree, registry, timers } = options;
     this.table = new LimitTable(timers);
-    cluster.handle(MessageType.SendPermit, (_from, frame: LimitFrame) =>
+    cluster.handle(MessageType.AttemptPermit, (_from, frame: LimitFrame) =>
       this.handleRequest(decodeLimit(frame)),
     );
     tree.register(Topic.ReplicaLimit, this.topic());
@@ -108,14 +108,14 @@
 
   private permit(row: ReplicaLimitRow): SendPermit | Promise<SendPermit> {
     const { self, cluster } = this.options;
-    const keeper = firstFor(row.replica, cluster.alive());
+    const keeper = rendezvousOwner(row.replica, cluster.alive());
     return keeper === undefined || keeper === self ? this.pace(row) : this.ask(keeper, row);
   }
 
   private async ask(keeper: string, row: ReplicaLimitRow): Promise<SendPermit> {
     const { cluster, log } = this.options;
     try {
-      const answer = await cluster.request(keeper, MessageType.SendPermit, encodeLimit(row), ANSWER_MS);
+      const answer = await cluster.request(keeper, MessageType.AttemptPermit, encodeLimit(row), ANSWER_MS);
       this.ownParts.delete(row.replica);
       return decodePermit(answer as PermitFrame);
     } catch (err) {
--- a/packages/routing/src/core/ownership/engine-leases.ts
+++ b/packages/routing/src/core/ownership/engine-leases.ts
@@ -14,7 +14,7 @@
 import { hash32 } from '@celeryyoke/core';
 
 import { MemberState } from '../cluster/index.js';
-import { firstFor } from './rendezvous.js';
+import { rendezvousOwner } from './rendezvous.js';
 
 /**
  * Number of daemon ids in the low part of a token. With 2^12, tokens stay safe integers until the year 2039.
@@ -108,12 +108,12 @@
   }
 
   /** All known leases. */
-  all(): EngineLease[] {
+  allLeases(): EngineLease[] {
     return [...this.leases.values()];
   }
 
   /** The leases that this daemon holds. */
-  mine(): EngineLease[] {
+  ownLeases(): EngineLease[] {
     return [...this.leases.values()].filter(({ holder }) => holder === this.options.self);
   }
 
@@ -123,7 +123,7 @@
    * @param replica - The engine.
    * @returns The fencing token for the order, or undefined when no order may be sent.
    */
-  authority(replica: string): number | undefined {
+  tokenForOrder(replica: string): number | undefined {
     const lease = this.leases.get(replica);
     if (this.isClosed || lease?.holder !== this.options.self) return undefined;
     const { isFenced, isUpToDate } = this.options;
@@ -136,7 +136,7 @@
    * @param lease - The lease.
    * @returns Whether it replaced the known lease.
    */
-  take(lease: EngineLease): boolean {
+  merge(lease: EngineLease): boolean {
     const known = this.leases.get(lease.replica);
     if (known !== undefined && known.token >= lease.token) return false;
     this.leases.set(lease.replica, lease);
@@ -151,7 +151,7 @@
    * @param replica - The engine.
    * @param token - The refused token.
    */
-  refused(replica: string, token: number): void {
+  handleRefusedToken(replica: string, token: number): void {
     const lease = this.leases.get(replica);
     if (lease?.token !== token) return;
     this.leases.delete(replica);
@@ -177,19 +177,19 @@
    * Claims the engines that have no owner and that rendezvous hashing assigns to this daemon.
    * @param replicas - All engines.
    */
-  review(replicas: Iterable<string>): void {
+  claimUnowned(replicas: Iterable<string>): void {
     const { hasSettled, isRecovering, fleet, self } = this.options;
     if (this.isClosed || this.isLeaving || !hasSettled() || isRecovering()) return;
     const alive = fleet.alive();
     for (const replica of replicas)
-      if (this.isClaimable(replica) && firstFor(replica, alive) === self) this.claim(replica);
+      if (this.isClaimable(replica) && rendezvousOwner(replica, alive) === self) this.claim(replica);
   }
 
   /**
    * Stops claiming engines before a shutdown. This daemon keeps the leases that it holds until another daemon
    * claims them: in a rolling restart there may be no daemon for seconds that could.
    */
-  leave(): void {
+  stopClaiming(): void {
     this.isLeaving = true;
   }
 
--- a/packages/routing/src/core/ownership/fleet-settling.ts
+++ b/packages/routing/src/core/ownership/fleet-settling.ts
@@ -19,7 +19,7 @@
   /** Addresses of the living daemons. */
   readonly alive: () => readonly string[];
   /** Whether this daemon has received the shared state of the others, or there are no others. */
-  readonly isInformed: () => boolean;
+  readonly hasSharedState: () => boolean;
   readonly timers: TimerService;
 }
 
@@ -56,7 +56,9 @@
     if (ageMs >= MAX_SETTLE_MS) return true;
     const minAgeMs = alive.length === 1 ? ALONE_SETTLE_MS : MIN_SETTLE_MS;
     return (
-      ageMs >= minAgeMs && now - this.membershipChangedAt >= STABLE_MEMBERSHIP_MS && this.options.isInformed()
+      ageMs >= minAgeMs &&
+      now - this.membershipChangedAt >= STABLE_MEMBERSHIP_MS &&
+      this.options.hasSharedState()
     );
   }
 }
--- a/packages/routing/src/core/ownership/index.ts
+++ b/packages/routing/src/core/ownership/index.ts
@@ -2,5 +2,5 @@
 export { FleetSettling } from './fleet-settling.js';
 export type { EngineLease, EngineLeasesOptions, FleetMembership } from './engine-leases.js';
 export { EngineLeases } from './engine-leases.js';
-export { firstFor } from './rendezvous.js';
+export { rendezvousOwner } from './rendezvous.js';
 export { PauseDetector } from './pause-detector.js';
--- a/packages/routing/src/core/ownership/pause-detector.ts
+++ b/packages/routing/src/core/ownership/pause-detector.ts
@@ -55,7 +55,7 @@
    * Returns the longest delay of the event loop since the last call, and resets it.
    * @returns Milliseconds.
    */
-  takeLongestDelay(): number {
+  takeLongestDelayMs(): number {
     const { longestDelayMs } = this;
     this.longestDelayMs = 0;
     return longestDelayMs;
--- a/packages/routing/src/core/ownership/rendezvous.ts
+++ b/packages/routing/src/core/ownership/rendezvous.ts
@@ -8,7 +8,7 @@
  * @param members - Addresses of the living daemons.
  * @returns Address of a daemon, or undefined when there are none.
  */
-export function firstFor(name: string, members: readonly string[]): string | undefined {
+export function rendezvousOwner(name: string, members: readonly string[]): string | undefined {
   let owner: string | undefined;
   let highestScore = -1;
   for (const member of members) {
--- a/packages/routing/src/core/pacing/admission.ts
+++ b/packages/routing/src/core/pacing/admission.ts
@@ -62,7 +62,7 @@
    */
   constructor(private readonly options: PromptAdmissionOptions) {
     const { cluster, registry, takeReport } = options;
-    cluster.handle(MessageType.Admission, ({ address }, frame: AdmissionFrame) => {
+    cluster.handle(MessageType.AdmitPrompt, ({ address }, frame: AdmissionFrame) => {
       const request = decodeAdmission(frame);
       takeReport(address, request.inFlight);
       return encodeDecision(this.decide(request));
@@ -98,7 +98,7 @@
     if (owner === self) return this.decide(request);
     try {
       const frame = encodeAdmission(request);
-      const answer = await cluster.request(owner, MessageType.Admission, frame, ANSWER_MS);
+      const answer = await cluster.request(owner, MessageType.AdmitPrompt, frame, ANSWER_MS);
       return decodeDecision(answer as DecisionFrame);
     } catch (err) {
       log.debug(`No admission to ${replica} from ${owner}: ${String(err)}.`);
--- a/packages/routing/test/engine-leases.test.ts
+++ b/packages/routing/test/engine-leases.test.ts
@@ -45,7 +45,7 @@
   const flags = { isRecovering: false, isUpToDate: true, isInformed: true };
   const settling = new FleetSettling({
     alive: () => fleet.alive(),
-    isInformed: () => flags.isInformed,
+    hasSharedState: () => flags.isInformed,
     timers,
   });
   const leases = new EngineLeases({
@@ -73,7 +73,7 @@
       names.filter((name) => name !== self),
     );
     timers.advanceSync(SETTLED_MS);
-    leases.review(engines);
+    leases.claimUnowned(engines);
     return gained;
   });
   t.deepEqual(claimed.map(({ replica }) => replica).sort(), [...engines].sort());
@@ -84,103 +84,107 @@
 test('nothing is claimed before the membership has been stable for a while', (t) => {
   const { timers, fleet, leases, gained } = setUp();
   timers.advanceSync(300);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.is(gained.length, 0);
   // A daemon that joins restarts the wait for a stable membership.
   fleet.states.set('d', MemberState.Alive);
   timers.advanceSync(100);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.is(gained.length, 0);
   timers.advanceSync(150);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.is(gained.length, 0);
   timers.advanceSync(100);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.true(gained.length > 0);
 });
 
 test('a daemon that has met no other waits longer before it claims, as the others may be starting', (t) => {
   const { timers, leases, gained } = setUp('a', []);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   timers.advanceSync(900);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.is(gained.length, 0);
   timers.advanceSync(200);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.true(gained.length > 0);
 });
 
 test('an engine stays with a living owner, moves at once when it ends or leaves, after leaseMs when silent', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b']);
   timers.advanceSync(SETTLED_MS);
-  leases.take({ replica: 'x', holder: 'b', token: 1 });
-  leases.review(['x']);
+  leases.merge({ replica: 'x', holder: 'b', token: 1 });
+  leases.claimUnowned(['x']);
   t.is(gained.length, 0);
   fleet.states.set('b', MemberState.Silent);
   fleet.downFor.set('b', LEASE_MS - 1);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.is(gained.length, 0);
   fleet.downFor.set('b', LEASE_MS + 1);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.is(gained.length, 1);
   t.true(gained[0]!.token > 1);
 
   const other = setUp('a', ['b']);
   other.timers.advanceSync(SETTLED_MS);
-  other.leases.take({ replica: 'x', holder: 'b', token: 1 });
+  other.leases.merge({ replica: 'x', holder: 'b', token: 1 });
   other.fleet.states.set('b', MemberState.Leaving);
-  other.leases.review(['x']);
+  other.leases.claimUnowned(['x']);
   t.is(other.gained.length, 1);
 });
 
 test('where engines refuse older tokens, a silent owner loses its engine before leaseMs has passed', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b'], true);
   timers.advanceSync(SETTLED_MS);
-  leases.take({ replica: 'x', holder: 'b', token: 1 });
+  leases.merge({ replica: 'x', holder: 'b', token: 1 });
   fleet.states.set('b', MemberState.Silent);
   fleet.downFor.set('b', 400);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.is(gained.length, 0);
   fleet.downFor.set('b', 600);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.is(gained.length, 1);
 });
 
 test('a minority of a partitioned fleet sends no orders and claims nothing until its wait is over', (t) => {
   const { timers, fleet, leases, gained } = setUp('a', ['b', 'c', 'd']);
   timers.advanceSync(SETTLED_MS);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   const ownEngine = gained[0]!.replica;
-  t.not(leases.authority(ownEngine), undefined);
+  t.not(leases.tokenForOrder(ownEngine), undefined);
   for (const name of ['b', 'c', 'd']) {
     fleet.states.set(name, MemberState.Silent);
     fleet.downFor.set(name, LEASE_MS + 500);
   }
-  leases.take({ replica: 'theirs', holder: 'b', token: 1 });
+  leases.merge({ replica: 'theirs', holder: 'b', token: 1 });
   const gainedBefore = gained.length;
-  leases.review(['theirs']);
+  leases.claimUnowned(['theirs']);
   t.is(gained.length, gainedBefore);
-  t.is(leases.authority(ownEngine), undefined);
+  t.is(leases.tokenForOrder(ownEngine), undefined);
   timers.advanceSync(3 * LEASE_MS + 100);
-  t.not(leases.authority(ownEngine), undefined, 'a daemon that stays in the minority may send orders again');
+  t.not(
+    leases.tokenForOrder(ownEngine),
+    undefined,
+    'a daemon that stays in the minority may send orders again',
+  );
 });
 
 test('a daemon that recovers from a pause may not send orders', (t) => {
   const { timers, leases, gained, flags } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
-  t.is(leases.authority('x'), gained[0]!.token);
+  leases.claimUnowned(['x']);
+  t.is(leases.tokenForOrder('x'), gained[0]!.token);
   flags.isRecovering = true;
-  t.is(leases.authority('x'), undefined);
+  t.is(leases.tokenForOrder('x'), undefined);
 });
 
 test('a published lease replaces this daemon’s own only if its token is higher', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
-  leases.take({ replica: 'x', holder: 'b', token: gained[0]!.token - 1 });
+  leases.claimUnowned(['x']);
+  leases.merge({ replica: 'x', holder: 'b', token: gained[0]!.token - 1 });
   t.is(leases.of('x')?.holder, 'a');
-  leases.take({ replica: 'x', holder: 'b', token: gained[0]!.token + 1 });
+  leases.merge({ replica: 'x', holder: 'b', token: gained[0]!.token + 1 });
   t.is(leases.of('x')?.holder, 'b');
   t.deepEqual(lost, ['x']);
 });
@@ -188,27 +192,27 @@
 test('an engine that refused a token is claimed again only after a backoff, with a higher token', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   const { token } = gained[0]!;
-  leases.refused('x', token);
+  leases.handleRefusedToken('x', token);
   t.deepEqual(lost, ['x']);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.is(gained.length, 1);
   timers.advanceSync(2 * LEASE_MS + 1);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   t.true(gained[1]!.token > token);
 });
 
 test('a leaving daemon keeps its engines until another daemon claims them, and claims no more', (t) => {
   const { timers, leases, gained, lost } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
-  leases.leave();
-  t.is(leases.authority('x'), gained[0]!.token);
-  leases.review(['y']);
+  leases.claimUnowned(['x']);
+  leases.stopClaiming();
+  t.is(leases.tokenForOrder('x'), gained[0]!.token);
+  leases.claimUnowned(['y']);
   t.is(gained.length, 1);
-  leases.take({ replica: 'x', holder: 'b', token: gained[0]!.token + 1 });
-  t.is(leases.authority('x'), undefined);
+  leases.merge({ replica: 'x', holder: 'b', token: gained[0]!.token + 1 });
+  t.is(leases.tokenForOrder('x'), undefined);
   t.deepEqual(lost, ['x']);
 });
 
@@ -229,34 +233,34 @@
     onLoss: () => undefined,
   });
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
+  leases.claimUnowned(['x']);
   wall -= 2000;
-  leases.review(['y']);
+  leases.claimUnowned(['y']);
   t.true(claimed[1]!.token > claimed[0]!.token);
 });
 
 test('a daemon that has not received the shared state of the others claims no engine', (t) => {
   const { timers, leases, gained, flags } = setUp();
   flags.isInformed = false;
-  leases.review(engines);
+  leases.claimUnowned(engines);
   timers.advanceSync(1000);
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.deepEqual(gained, []);
   flags.isInformed = true;
-  leases.review(engines);
+  leases.claimUnowned(engines);
   t.true(gained.length > 0);
 });
 
 test('where engines do not check tokens, a daemon without recent state of the fleet sends no orders', (t) => {
   const { timers, leases, flags } = setUp('a', []);
   timers.advanceSync(SETTLED_MS);
-  leases.review(['x']);
-  t.not(leases.authority('x'), undefined);
+  leases.claimUnowned(['x']);
+  t.not(leases.tokenForOrder('x'), undefined);
   flags.isUpToDate = false;
-  t.is(leases.authority('x'), undefined);
+  t.is(leases.tokenForOrder('x'), undefined);
   const fenced = setUp('a', [], true);
   fenced.timers.advanceSync(SETTLED_MS);
-  fenced.leases.review(['x']);
+  fenced.leases.claimUnowned(['x']);
   fenced.flags.isUpToDate = false;
-  t.not(fenced.leases.authority('x'), undefined);
+  t.not(fenced.leases.tokenForOrder('x'), undefined);
 });
--- a/packages/routing/test/fleet/daemons.ts
+++ b/packages/routing/test/fleet/daemons.ts
@@ -59,13 +59,13 @@
       timers,
       log,
       recent: () => [],
-      takeRecent: () => undefined,
+      mergeRecent: () => undefined,
     });
     this.tree.register<MemberRecord>(Topic.Member, {
       isUrgent: true,
       keyOf: (record) => record.address,
       merge: (record) => this.cluster.merge(record),
-      snapshot: () => this.cluster.records(),
+      snapshot: () => this.cluster.memberRecords(),
       encode: encodeMember,
       decode: (wire) => decodeMember(wire as MemberFrame),
     });
@@ -124,12 +124,12 @@
 
 /** Whether a daemon has received recent state of the fleet. */
 export function isUpToDate({ cluster, tree }: TestDaemon): boolean {
-  const isHeard = cluster.alive().length <= 1 || cluster.heardAgoMs() < UP_TO_DATE_MS;
+  const isHeard = cluster.alive().length <= 1 || cluster.sinceLastReceivedMs() < UP_TO_DATE_MS;
   return isHeard && tree.ageMs < UP_TO_DATE_MS;
 }
 
 /** Creates a daemon's share in an allowance of the whole fleet. */
-export function shareOf(
+export function createFleetShare(
   fleet: TestFleet,
   daemon: TestDaemon,
   isFirstStart: boolean,
@@ -164,18 +164,18 @@
   ) {}
 
   /** Address of a daemon; consecutive indexes are in different failure domains. */
-  name(index: number): string {
+  addressOf(index: number): string {
     return `10.${1 + (index % this.zones)}.0.${100 + Math.floor(index / this.zones)}:1`;
   }
 
   /** Addresses of the seeds of every daemon. */
   seeds(): string[] {
-    return Array.from({ length: this.seedCount }, (_, seed) => this.name(seed));
+    return Array.from({ length: this.seedCount }, (_, seed) => this.addressOf(seed));
   }
 
   /** Starts a daemon, or starts it again with a new incarnation. */
   async start(index: number): Promise<TestDaemon> {
-    const address = this.name(index);
+    const address = this.addressOf(index);
     const seeds = this.seeds();
     this.lastIncarnation += 1;
     const zone = `z${index % this.zones}`;
@@ -195,7 +195,7 @@
   }
 
   daemon(index: number): TestDaemon {
-    return this.daemons.get(this.name(index))!;
+    return this.daemons.get(this.addressOf(index))!;
   }
 
   /** Daemons whose process has not ended. */
--- a/packages/routing/test/fleet/fleet.test.ts
+++ b/packages/routing/test/fleet/fleet.test.ts
@@ -99,7 +99,7 @@
   const left = fleet.running().filter(({ address }) => address.startsWith('10.1.'));
   const right = fleet.running().filter((daemon) => !left.includes(daemon));
   const names = (side: typeof left) => side.map(({ address }) => address);
-  fleet.network.split(names(left), names(right));
+  fleet.network.partition(names(left), names(right));
   await fleet.advanceUntil(() => fleet.agrees(left) && fleet.agrees(right), 8000);
   t.true(fleet.agrees(left));
   t.true(fleet.agrees(right));
@@ -121,14 +121,14 @@
   const fleet = await startSettledFleet(60, 3);
   const lone = fleet.daemon(31);
   const others = fleet.running().filter((daemon) => daemon !== lone);
-  fleet.network.split(
+  fleet.network.partition(
     [lone.address],
     others.map(({ address }) => address),
   );
   const isMinority = (): boolean => lone.cluster.alive().length * 2 < lone.cluster.possible();
   const waited = await fleet.advanceUntil(isMinority, 8000);
   t.true(waited <= 5000, `${waited} ms`);
-  t.true(lone.tree.ageMs > 1500 || lone.cluster.heardAgoMs() > 1500);
+  t.true(lone.tree.ageMs > 1500 || lone.cluster.sinceLastReceivedMs() > 1500);
 });
 
 test('the remaining daemons agree after half of the fleet has ended at once', async (t) => {
@@ -181,7 +181,7 @@
   await fleet.startAll(6);
   await fleet.timers.advance(2000);
   const { cluster } = fleet.daemon(0);
-  const record = cluster.member(fleet.name(5))!;
+  const record = cluster.member(fleet.addressOf(5))!;
   // The others know a later incarnation than the one that starts.
   cluster.merge({ ...record, incarnation: record.incarnation + 1000, state: record.state });
   fleet.daemon(5).kill();
@@ -252,11 +252,11 @@
         if (kind === 'leave' && !daemon.isStopped) daemon.cluster.leave();
         if (kind === 'freeze') network.freeze(daemon.address);
         if (kind === 'thaw') network.thaw(daemon.address);
-        if (kind === 'cut') network.cut(fleet.name(target), fleet.name(other));
+        if (kind === 'cut') network.cut(fleet.addressOf(target), fleet.addressOf(other));
         if (kind === 'heal') network.heal();
         await fleet.timers.advance(waitMs);
       }
-      for (let index = 0; index < 12; index += 1) fleet.network.thaw(fleet.name(index));
+      for (let index = 0; index < 12; index += 1) fleet.network.thaw(fleet.addressOf(index));
       fleet.network.heal();
       // A daemon that is leaving ends and starts again.
       for (let index = 0; index < 12; index += 1) {
--- a/packages/routing/test/fleet/freshness.test.ts
+++ b/packages/routing/test/fleet/freshness.test.ts
@@ -1,5 +1,5 @@
 /** Freshness of the platform's view on each daemon; no daemon may report a lower age than the true one. */
-import { readingRank, StoreWatcher } from '@celeryyoke/routing';
+import { storeReaderRank, StoreWatcher } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
@@ -60,7 +60,7 @@
       view,
       source: this.store.sourceOf(address),
       timers: timersOf(this.fleet.network, address),
-      rank: () => readingRank(address, cluster.alive(), (member) => cluster.member(member)?.zone),
+      rank: () => storeReaderRank(address, cluster.alive(), (member) => cluster.member(member)?.zone),
       isAlone: () => cluster.alive().length <= 1,
       isFirstStart: true,
       random: () => this.random.between(0, 1),
@@ -112,7 +112,7 @@
     const { fleet } = watching;
     await watching.settle(24);
     const slow = fleet.daemon(slowIndex);
-    t.true(slow.tree.subscribers > 0);
+    t.true(slow.tree.subscriberCount > 0);
     fleet.network.slow(slow.address, 1100);
     const ages = await runAndMeasure(
       watching,
@@ -176,13 +176,13 @@
   start: async ({ fleet }, target) => {
     if (fleet.daemon(target).isStopped) await fleet.start(target);
   },
-  freeze: ({ fleet }, target) => fleet.network.freeze(fleet.name(target)),
-  thaw: ({ fleet }, target) => fleet.network.thaw(fleet.name(target)),
-  slow: ({ fleet }, target, other) => fleet.network.slow(fleet.name(target), other * 150),
-  cut: ({ fleet }, target, other) => fleet.network.cut(fleet.name(target), fleet.name(other)),
+  freeze: ({ fleet }, target) => fleet.network.freeze(fleet.addressOf(target)),
+  thaw: ({ fleet }, target) => fleet.network.thaw(fleet.addressOf(target)),
+  slow: ({ fleet }, target, other) => fleet.network.slow(fleet.addressOf(target), other * 150),
+  cut: ({ fleet }, target, other) => fleet.network.cut(fleet.addressOf(target), fleet.addressOf(other)),
   heal: ({ fleet }) => fleet.network.heal(),
-  refuse: ({ store, fleet }, target) => store.refused.add(fleet.name(target)),
-  serve: ({ store, fleet }, target) => store.refused.delete(fleet.name(target)),
+  refuse: ({ store, fleet }, target) => store.refused.add(fleet.addressOf(target)),
+  serve: ({ store, fleet }, target) => store.refused.delete(fleet.addressOf(target)),
 } satisfies Record<string, (watching: WatchingFleet, target: number, other: number) => unknown>;
 
 // Guards against any other path on which an age loses time between daemons.
--- a/packages/routing/test/fleet/network.ts
+++ b/packages/routing/test/fleet/network.ts
@@ -70,7 +70,7 @@
   }
 
   /** Cuts all paths between two groups, in both directions. */
-  split(left: readonly string[], right: readonly string[]): void {
+  partition(left: readonly string[], right: readonly string[]): void {
     for (const one of left)
       for (const other of right) {
         this.cuts.add(`${one}>${other}`);
--- a/packages/routing/test/fleet/topology.test.ts
+++ b/packages/routing/test/fleet/topology.test.ts
@@ -1,7 +1,7 @@
 /**
  * Topology of the dissemination tree: one root, one subscription into each failure domain, bounded fan-out.
  */
-import { chooseParent, FAN_OUT, readingRank } from '@celeryyoke/routing';
+import { chooseParent, FAN_OUT, storeReaderRank } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
@@ -69,7 +69,7 @@
 test('the root ranks first for reading the store, then one daemon of each other failure domain', (t) => {
   fc.assert(
     fc.property(fleets, (alive) => {
-      const ranks = alive.map((self) => readingRank(self, alive, zoneOf));
+      const ranks = alive.map((self) => storeReaderRank(self, alive, zoneOf));
       t.deepEqual(
         [...ranks].sort((left, right) => left - right),
         alive.map((_, index) => index),
@@ -80,5 +80,5 @@
       t.is(ranks[0], 0);
     }),
   );
-  t.is(readingRank('10.9.0.1:1', ['10.1.0.1:1'], zoneOf), -1);
+  t.is(storeReaderRank('10.9.0.1:1', ['10.1.0.1:1'], zoneOf), -1);
 });
--- a/packages/routing/test/limits/fleet.ts
+++ b/packages/routing/test/limits/fleet.ts
@@ -3,7 +3,7 @@
 
 import { log } from '../fakes.js';
 import type { TestDaemon } from '../fleet/daemons.js';
-import { shareOf, TestFleet } from '../fleet/daemons.js';
+import { createFleetShare, TestFleet } from '../fleet/daemons.js';
 import { timersOf } from '../fleet/network.js';
 
 export const REPLICA = 'e1';
@@ -74,7 +74,7 @@
     const { address, cluster, tree, view } = daemon;
     const timers = timersOf(this.fleet.network, address);
     const registry = new ReplicaRegistry(view, timers);
-    const share = shareOf(this.fleet, daemon, true, WINDOW_MS);
+    const share = createFleetShare(this.fleet, daemon, true, WINDOW_MS);
     registry.replica = () => ({}) as ReturnType<ReplicaRegistry['replica']>;
     this.limits.set(
       address,
--- a/packages/routing/test/limits/limits.test.ts
+++ b/packages/routing/test/limits/limits.test.ts
@@ -1,5 +1,5 @@
 /** The rate that a replica in need states holds for all daemons together. */
-import { CUT_OFF_MS, firstFor, LimitTable, SendPacer } from '@celeryyoke/routing';
+import { CUT_OFF_MS, rendezvousOwner, LimitTable, SendPacer } from '@celeryyoke/routing';
 import { createManualTimers } from '@celeryyoke/core';
 import test from 'ava';
 
@@ -39,7 +39,7 @@
   await pressed.press(HEARD_MS);
   const from = fleet.timers.now();
   for (let turn = 0; turn < 3; turn += 1) {
-    const keeper = firstFor(REPLICA, fleet.daemon(11).cluster.alive())!;
+    const keeper = rendezvousOwner(REPLICA, fleet.daemon(11).cluster.alive())!;
     if (turn === 1) fleet.network.freeze(keeper);
     else fleet.daemons.get(keeper)!.kill();
     await pressed.press(5000);
@@ -58,7 +58,7 @@
   test(`${what} together send a replica no more than it takes`, async (t) => {
     const pressed = new PressedFleet();
     const { fleet } = pressed;
-    const names = Array.from({ length: 12 }, (_, index) => fleet.name(index));
+    const names = Array.from({ length: 12 }, (_, index) => fleet.addressOf(index));
     const part = (zone: number): string[] => names.filter((_name, index) => index % 3 === zone);
     const cut = (): void => {
       for (const [left, right] of [
@@ -66,7 +66,7 @@
         [0, 2],
         [1, 2],
       ] as const)
-        fleet.network.split(part(left), part(right));
+        fleet.network.partition(part(left), part(right));
     };
     if (!hasMet) cut();
     await pressed.start(names.length);
--- a/packages/routing/test/quotas/fleet.ts
+++ b/packages/routing/test/quotas/fleet.ts
@@ -7,7 +7,7 @@
 
 import { log } from '../fakes.js';
 import type { TestDaemon } from '../fleet/daemons.js';
-import { shareOf, TestFleet } from '../fleet/daemons.js';
+import { createFleetShare, TestFleet } from '../fleet/daemons.js';
 import { timersOf } from '../fleet/network.js';
 import type { Random } from '../orders/random.js';
 import { createRandom } from '../orders/random.js';
@@ -83,7 +83,7 @@
   setDemand(tokensPerSecond: number, daemons: number): void {
     this.demand.clear();
     for (let index = 0; index < daemons; index += 1)
-      this.demand.set(this.fleet.name(index), tokensPerSecond / daemons);
+      this.demand.set(this.fleet.addressOf(index), tokensPerSecond / daemons);
   }
 
   /** Advances the virtual clock while clients send. */
@@ -144,7 +144,7 @@
     const timers = timersOf(this.fleet.network, address);
     const settling = new FleetSettling({
       alive: () => cluster.alive(),
-      isInformed: () => tree.isPlaced,
+      hasSharedState: () => tree.isPlaced,
       timers,
     });
     this.quotas.set(
@@ -158,7 +158,7 @@
         log,
         account: (name) => (this.account?.name === name ? this.account : undefined),
         isSettled: () => settling.hasSettled(),
-        share: shareOf(this.fleet, daemon, this.isFirstStart, WINDOW_MS),
+        share: createFleetShare(this.fleet, daemon, this.isFirstStart, WINDOW_MS),
         seeds: () => this.fleet.seeds(),
         isFirstStart: this.isFirstStart,
       }),
--- a/packages/routing/test/quotas/quotas.test.ts
+++ b/packages/routing/test/quotas/quotas.test.ts
@@ -125,7 +125,7 @@
   quotas.setDemand(RATE * 4, 12);
   await quotas.runFor(2000);
   const names = quotas.fleet.running().map(({ address }) => address);
-  quotas.fleet.network.split(names.slice(0, 6), names.slice(6));
+  quotas.fleet.network.partition(names.slice(0, 6), names.slice(6));
   await quotas.runFor(WINDOW_MS * 2);
   t.true(quotas.maxInWindow() <= maxAllowedInWindow(), `${quotas.maxInWindow()} of ${maxAllowedInWindow()}`);
   quotas.setDemand(RATE * 4, 6);
@@ -141,8 +141,8 @@
   quotas.setDemand(RATE * 4, 12);
   const indices = Array.from({ length: 12 }, (_, index) => index);
   const isolated = indices.filter((index) => index % 3 === 2);
-  const namesOf = (wanted: readonly number[]): string[] => wanted.map((index) => fleet.name(index));
-  fleet.network.split(namesOf(isolated), namesOf(indices.filter((index) => !isolated.includes(index))));
+  const namesOf = (wanted: readonly number[]): string[] => wanted.map((index) => fleet.addressOf(index));
+  fleet.network.partition(namesOf(isolated), namesOf(indices.filter((index) => !isolated.includes(index))));
   for (const index of isolated) {
     quotas.kill(index);
     await fleet.start(index);
@@ -190,12 +190,12 @@
   leave: ({ fleet }, { target }) => {
     if (!fleet.daemon(target).isStopped) fleet.daemon(target).cluster.leave();
   },
-  freeze: ({ fleet }, { target }) => fleet.network.freeze(fleet.name(target)),
-  thaw: ({ fleet }, { target }) => fleet.network.thaw(fleet.name(target)),
-  cut: ({ fleet }, { target, other }) => fleet.network.cut(fleet.name(target), fleet.name(other)),
+  freeze: ({ fleet }, { target }) => fleet.network.freeze(fleet.addressOf(target)),
+  thaw: ({ fleet }, { target }) => fleet.network.thaw(fleet.addressOf(target)),
+  cut: ({ fleet }, { target, other }) => fleet.network.cut(fleet.addressOf(target), fleet.addressOf(other)),
   isolate: ({ fleet }, { target }) => {
     for (let index = 0; index < 8; index += 1)
-      if (index !== target) fleet.network.split([fleet.name(target)], [fleet.name(index)]);
+      if (index !== target) fleet.network.partition([fleet.addressOf(target)], [fleet.addressOf(index)]);
   },
   heal: ({ fleet }) => fleet.network.heal(),
   move: (quotas, { target }) => quotas.setDemand(RATE * 4, target + 1),
--- a/packages/routing/test/repeats/fixed-part.test.ts
+++ b/packages/routing/test/repeats/fixed-part.test.ts
@@ -23,9 +23,10 @@
 test('parts of a fleet that never met spend no more than the fixed number together', async (t) => {
   const run = new RetryingFleet(BOUNDS);
   const { fleet } = run;
-  const names = Array.from({ length: 30 }, (_, index) => fleet.name(index));
+  const names = Array.from({ length: 30 }, (_, index) => fleet.addressOf(index));
   const parts = Array.from({ length: SEEDS }, (_, part) => names.filter((_name, at) => at % SEEDS === part));
-  for (const left of parts) for (const right of parts) if (left !== right) fleet.network.split(left, right);
+  for (const left of parts)
+    for (const right of parts) if (left !== right) fleet.network.partition(left, right);
   await run.startStaggered(names.length, 1000);
   await run.run(SETTLED_MS);
   t.log(run.mostRetries());
@@ -36,7 +37,7 @@
 test('daemons that discover each other late spend no more than the fixed number in any window', async (t) => {
   const run = new RetryingFleet(BOUNDS);
   const { fleet } = run;
-  for (let index = 0; index < 24; index += 1) fleet.network.slow(fleet.name(index), 250);
+  for (let index = 0; index < 24; index += 1) fleet.network.slow(fleet.addressOf(index), 250);
   await run.startStaggered(24, 3000);
   await run.run(SETTLED_MS);
   t.log(run.mostRetries());
@@ -51,22 +52,23 @@
 /** What a step of a random run does to a daemon. */
 const STEPS = {
   kill: ({ fleet }, target) => {
-    if (fleet.daemons.has(fleet.name(target)) && !fleet.daemon(target).isStopped) fleet.daemon(target).kill();
+    if (fleet.daemons.has(fleet.addressOf(target)) && !fleet.daemon(target).isStopped)
+      fleet.daemon(target).kill();
   },
   start: async (run, target) => {
     const { fleet } = run;
-    const known = fleet.daemons.get(fleet.name(target));
+    const known = fleet.daemons.get(fleet.addressOf(target));
     if (known !== undefined && !known.isStopped) return;
     Object.assign(run, { isFirstStart: known === undefined });
     await fleet.start(target);
   },
-  freeze: ({ fleet }, target) => fleet.network.freeze(fleet.name(target)),
-  thaw: ({ fleet }, target) => fleet.network.thaw(fleet.name(target)),
-  slow: ({ fleet }, target, other) => fleet.network.slow(fleet.name(target), other * 150),
-  cut: ({ fleet }, target, other) => fleet.network.cut(fleet.name(target), fleet.name(other)),
+  freeze: ({ fleet }, target) => fleet.network.freeze(fleet.addressOf(target)),
+  thaw: ({ fleet }, target) => fleet.network.thaw(fleet.addressOf(target)),
+  slow: ({ fleet }, target, other) => fleet.network.slow(fleet.addressOf(target), other * 150),
+  cut: ({ fleet }, target, other) => fleet.network.cut(fleet.addressOf(target), fleet.addressOf(other)),
   split: ({ fleet }, target) => {
-    const names = Array.from({ length: RANDOM_DAEMONS }, (_, index) => fleet.name(index));
-    fleet.network.split(names.slice(0, target), names.slice(target));
+    const names = Array.from({ length: RANDOM_DAEMONS }, (_, index) => fleet.addressOf(index));
+    fleet.network.partition(names.slice(0, target), names.slice(target));
   },
   heal: ({ fleet }) => fleet.network.heal(),
 } satisfies Record<string, (run: RetryingFleet, target: number, other: number) => unknown>;
--- a/packages/routing/test/repeats/fleet.ts
+++ b/packages/routing/test/repeats/fleet.ts
@@ -2,7 +2,7 @@
 import { RetryBudget } from '@celeryyoke/routing';
 
 import type { TestDaemon } from '../fleet/daemons.js';
-import { shareOf, TestFleet } from '../fleet/daemons.js';
+import { createFleetShare, TestFleet } from '../fleet/daemons.js';
 import { timersOf } from '../fleet/network.js';
 import type { RetryBounds } from './rule.js';
 import { RetryRecord } from './rule.js';
@@ -72,7 +72,7 @@
   private addBudget(daemon: TestDaemon): void {
     const { address } = daemon;
     const timers = timersOf(this.fleet.network, address);
-    const share = shareOf(this.fleet, daemon, this.isFirstStart, this.bounds.windowMs);
+    const share = createFleetShare(this.fleet, daemon, this.isFirstStart, this.bounds.windowMs);
     const budget = new RetryBudget({ bounds: this.bounds, share: () => share.own(), timers });
     this.budgets.set(address, budget);
   }
