--- a/packages/routing/src/core/adapters/engine-owner.ts
+++ b/packages/routing/src/core/adapters/engine-owner.ts
@@ -8,10 +8,10 @@
  */
 import type { EngineSpec } from '../catalog/index.js';
 import { AdapterLoad } from './adapter-load.js';
-import { adoptReport } from './adopt.js';
+import { adoptReport } from './reconcile-slots.js';
 import { adapterPlaces } from './capacity.js';
 import { LoadTimes } from './load-times.js';
-import { EngineEmptyError, NumberedOrders } from './numbered-orders.js';
+import { EngineEmptyError, NumberedOrders } from './sequenced-orders.js';
 import type { EngineOrdersOptions } from './orders.js';
 import { EngineOrders } from './orders.js';
 import type { Wanted } from './queue.js';
@@ -21,7 +21,7 @@
 import { isMoving, SlotState, SlotTable } from './slots.js';
 import type { AdapterRef, EngineReport, Holdings, SlotAvailability, Urgency } from './types.js';
 import { adapterKey, AdapterUnavailable, OrderKind, OrderOutcome } from './types.js';
-import { Unloads } from './unloads.js';
+import { Unloads } from './unloader.js';
 
 /** Adapters that an engine takes in at once; the engines' protocol states it. */
 const MAX_LOADING = 4;
--- a/packages/routing/src/core/adapters/index.ts
+++ b/packages/routing/src/core/adapters/index.ts
@@ -2,8 +2,8 @@
 export { ResidencyTable } from './residency.js';
 export type { EngineOwnerOptions } from './engine-owner.js';
 export { EngineOwner } from './engine-owner.js';
-export type { EnsureWanted, LoaderOptions } from './loader.js';
-export { Loader } from './loader.js';
+export type { EnsureWanted, LoaderOptions } from './adapter-loader.js';
+export { Loader } from './adapter-loader.js';
 export { SlotState, SlotTable } from './slots.js';
 export type {
   AdapterRef,
--- a/packages/routing/src/core/adapters/session.ts
+++ b/packages/routing/src/core/adapters/session.ts
@@ -6,7 +6,7 @@
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
 import type { ReplicaEntry } from '../view/index.js';
-import type { NumberedOrders } from './numbered-orders.js';
+import type { NumberedOrders } from './sequenced-orders.js';
 import type { Slot, SlotTable } from './slots.js';
 import type { EngineReport } from './types.js';
 
--- a/packages/routing/src/core/adapters/unloads.ts
+++ b/packages/routing/src/core/adapters/unloader.ts
@@ -1,5 +1,5 @@
 /** Makes room on one engine: which adapter goes, and how. */
-import { noteSeen } from './adopt.js';
+import { noteSeen } from './reconcile-slots.js';
 import type { OrderedRef } from './orders.js';
 import type { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
--- a/packages/routing/test/orders/way.ts
+++ b/packages/routing/test/orders/faulty-link.ts
@@ -9,7 +9,7 @@
 } from '@celeryyoke/routing';
 import { OrderOutcome } from '@celeryyoke/routing';
 
-import type { OrderedEngine } from './engine.js';
+import type { OrderedEngine } from './simulated-engine.js';
 import type { Random } from './random.js';
 
 /** Time after which a call without an answer is given up, in milliseconds. */
--- a/packages/routing/test/orders/on-its-way.test.ts
+++ b/packages/routing/test/orders/loading-adapters.test.ts
@@ -15,7 +15,7 @@
 
 import type { EngineAnswers } from '../fakes.js';
 import { engineEntry, log, makeConnection, MODEL } from '../fakes.js';
-import { OrderedEngine } from './engine.js';
+import { OrderedEngine } from './simulated-engine.js';
 
 const PLACES = 3;
 /** Time of a load while the store is crowded, in milliseconds. */
--- a/packages/routing/test/orders/orders.test.ts
+++ b/packages/routing/test/orders/orders.test.ts
@@ -7,9 +7,9 @@
 import type { ExecutionContext } from 'ava';
 import test from 'ava';
 
-import type { PlayResult } from './fleet.js';
-import { play } from './fleet.js';
-import { PlayKind } from './plan.js';
+import type { PlayResult } from './simulation.js';
+import { play } from './simulation.js';
+import { PlayKind } from './scenario.js';
 
 /** First seed and number of plays; the environment overrides them. */
 const SEED = Number(process.env.CELERYYOKE_SOAK_SEED ?? 1);
--- a/packages/routing/test/orders/fleet.ts
+++ b/packages/routing/test/orders/simulation.ts
@@ -10,12 +10,12 @@
 import { EngineOwner } from '@celeryyoke/routing';
 
 import { engineEntry, log, MODEL } from '../fakes.js';
-import { OrderedEngine, RunAnswer } from './engine.js';
-import type { Plan } from './plan.js';
-import { drawPlan, KINDS, PlayKind } from './plan.js';
+import { OrderedEngine, RunAnswer } from './simulated-engine.js';
+import type { Plan } from './scenario.js';
+import { drawPlan, KINDS, PlayKind } from './scenario.js';
 import type { Random } from './random.js';
 import { createRandom } from './random.js';
-import { Way } from './way.js';
+import { Way } from './faulty-link.js';
 
 /** Time for which trouble goes on, and then the time to settle before the last look, in milliseconds. */
 const TROUBLE_MS = 12_000;
