--- a/packages/routing/src/core/adapters/adapter-load.ts
+++ b/packages/routing/src/core/adapters/adapter-load.ts
@@ -1,273 +1,289 @@
 /**
- * The load of one adapter into its slot.
+ * Loads one adapter into its slot.
  *
- * The slot's state says how far it is: reserved until the engine has accepted it, then loading. A report that is proved
- * meanwhile sets the state too, and the load goes on from there.
+ * The state of the slot shows the progress: reserved until the engine has accepted the load, then loading. A
+ * report that is verified meanwhile also sets the state, and the load continues from there.
  *
- * The slot counts as on its way until the engine says that the adapter is in place, however long that takes and whoever
- * still waits for it. An engine that is told to unload an adapter on its way has nothing to unload and says that it is
- * done; the adapter arrives all the same, and a slot that was counted as free meanwhile is one too many.
+ * The slot counts as loading until the engine reports the adapter as resident, however long that takes and
+ * whoever still waits for it. An engine that is ordered to unload an adapter while loading it has nothing to
+ * unload and answers done; the adapter becomes resident nevertheless, so releasing the slot meanwhile would
+ * overcommit the engine.
  */
 import type { LoadTimes } from './load-times.js';
-import type { OrderedRef } from './orders.js';
-import type { Wanted } from './queue.js';
+import type { OrderTarget } from './orders.js';
+import type { PendingLoad } from './queue.js';
 import type { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
-import { refOf, SlotState } from './slots.js';
+import { adapterOf, SlotState } from './slots.js';
 import type { EngineReport } from './types.js';
 import { adapterKey, AdapterUnavailable, OrderKind, OrderOutcome } from './types.js';
 
-/** Pause between two looks at a load, in milliseconds: a tenth of a first load, half of a repeated one. */
+/** Interval between polls of a load, in milliseconds: a tenth of a cold load, half of a warm one. */
 const POLL_MS = 12;
-/** The same when nobody waits for it any more, or the engine can't be reached, in milliseconds. */
-const SLOW_POLL_MS = 100;
-/** Pause when the engine is at another order, in milliseconds. */
-const BUSY_MS = 15;
-/** Longest time for which requests wait for a load, in milliseconds; a crowded store takes some times the usual quarter second. */
-const LOAD_LIMIT_MS = 4000;
-/** Pause between two looks at the report that shows that a newer version has taken an older one's place, in milliseconds. */
-const REPLACED_POLL_MS = 100;
-/** Part of the expected load time after which the first look is taken: later ones would never learn that it is shorter. */
-const FIRST_LOOK_SHARE = 0.85;
+/** Interval between polls when no request waits any more, or the engine is unreachable, in milliseconds. */
+const IDLE_POLL_MS = 100;
+/** Delay before retrying when the engine is occupied with another order, in milliseconds. */
+const BUSY_RETRY_MS = 15;
+/**
+ * Longest time that requests wait for a load, in milliseconds. An overloaded store takes several times the
+ * usual 250 ms.
+ */
+const LOAD_TIMEOUT_MS = 4000;
+/**
+ * Interval between reports requested to find out whether a newer version has replaced an older one, in
+ * milliseconds.
+ */
+const REPLACEMENT_POLL_MS = 100;
+/**
+ * Share of the expected load time after which the first poll is sent. Polling any later could never show that
+ * loads have become faster.
+ */
+const FIRST_POLL_SHARE = 0.85;
 
-/** Outcomes of a look after which the requests go on waiting. */
-const FOLLOWED: ReadonlySet<OrderOutcome> = new Set([
+/** Outcomes of a poll after which requests continue to wait. */
+const IN_PROGRESS: ReadonlySet<OrderOutcome> = new Set([
   OrderOutcome.Started,
   OrderOutcome.Busy,
   OrderOutcome.Unknown,
 ]);
 
-/** What a load is about. */
+/** Options of {@link AdapterLoad}. */
 export interface AdapterLoadOptions {
   readonly session: EngineSession;
-  readonly times: LoadTimes;
+  readonly loadTimes: LoadTimes;
   readonly slot: Slot;
-  /** Requests that wait for it; undefined when a former owner began it. */
-  readonly wanted: Wanted | undefined;
+  /** The queued load with its waiting requests; undefined when a former owner started it. */
+  readonly pending: PendingLoad | undefined;
 }
 
-/** One load. */
+/** Task that loads one adapter and follows it until it is resident. */
 export class AdapterLoad {
   private readonly startedAt: number;
 
-  /** Monotonic time at which the engine said that it had accepted it. */
+  /** Monotonic time at which the engine accepted the load. */
   private acceptedAt: number | undefined;
 
-  private isFirstLook = true;
+  private isFirstPoll = true;
 
-  /** Version that is wanted; a report may show that an older one is on its way. */
+  /** Requested version; a report may show that an older one is being loaded. */
   private readonly version: number;
 
-  /** Reports that were proved when the engine accepted it. */
-  private proofsAtAcceptance = 0;
+  /** Number of verified reports when the engine accepted the load. */
+  private reportsAtAcceptance = 0;
 
-  /** Whether requests still wait for it. */
+  /** Whether requests still wait for the load. */
   private isAwaited: boolean;
 
   /**
-   * Makes a load whose slot is reserved, or found to be loading.
-   * @param options - The slot, and who waits.
+   * @param options - The slot is reserved, or a report showed it as loading.
    */
   constructor(private readonly options: AdapterLoadOptions) {
-    const { session, slot, wanted } = options;
-    this.startedAt = session.parts.timers.now();
-    this.isAwaited = wanted !== undefined;
+    const { session, slot, pending } = options;
+    this.startedAt = session.context.timers.now();
+    this.isAwaited = pending !== undefined;
     this.version = slot.version;
-    slot.watcher = this;
+    slot.loadTask = this;
   }
 
-  /** Orders the load and follows it until the adapter is in place, or the engine has not accepted it. */
+  /**
+   * Orders the load and follows it until the adapter is resident or the engine has not accepted the order.
+   */
   async run(): Promise<void> {
     const { session, slot } = this.options;
-    while (!session.isOver && slot.watcher === this) {
-      if (slot.state === SlotState.Loading) await this.follow();
-      else if (slot.state === SlotState.Reserved) await this.begin();
-      else this.arrive();
+    while (!session.isEnded && slot.loadTask === this) {
+      if (slot.state === SlotState.Loading) await this.poll();
+      else if (slot.state === SlotState.Reserved) await this.submit();
+      else this.complete();
     }
-    this.rejectWaiting('The engine was given up.');
+    this.rejectRequests('This daemon no longer owns the engine.');
   }
 
-  /** Orders the load. */
-  private async begin(): Promise<void> {
+  /** Sends the load order. */
+  private async submit(): Promise<void> {
     const { session } = this.options;
-    const { orders, slots, places } = session.parts;
-    // A report that was proved since may have shown adapters that a former owner ordered.
-    const isStillRight = (): boolean => this.isReserved && slots.occupied <= places();
+    const { orders, slots, capacity } = session.context;
+    // A report verified in the meantime may have added adapters that a former owner ordered.
+    const isStillValid = (): boolean => this.isReserved && slots.occupied <= capacity();
     const outcome = this.isAwaited
-      ? await orders.begin(OrderKind.Load, this.ref(), isStillRight)
+      ? await orders.submit(OrderKind.Load, this.target(), isStillValid)
       : OrderOutcome.Refused;
-    if (session.isOver || !this.isReserved) return;
+    if (session.isEnded || !this.isReserved) return;
     if (outcome === OrderOutcome.Started) {
       this.accept();
-      await this.pause();
-    } else if (outcome === OrderOutcome.Done) await this.hearDone();
-    // Without an answer, the next report that is proved shows whether it was accepted.
-    else if (outcome === OrderOutcome.Unknown) await this.waitForProof();
-    else if (outcome === OrderOutcome.Busy && this.isAwaited && !this.isLate)
-      await session.parts.timers.sleep(BUSY_MS);
-    else this.giveBack(outcome);
+      await this.pauseBeforePoll();
+    } else if (outcome === OrderOutcome.Done) await this.handleDone();
+    // Without a response, the next verified report shows whether the load was accepted.
+    else if (outcome === OrderOutcome.Unknown) await this.waitForReport();
+    else if (outcome === OrderOutcome.Busy && this.isAwaited && !this.hasTimedOut)
+      await session.context.timers.sleep(BUSY_RETRY_MS);
+    else this.revert(outcome);
   }
 
   private get isReserved(): boolean {
     const { slot } = this.options;
-    return slot.watcher === this && slot.state === SlotState.Reserved;
+    return slot.loadTask === this && slot.state === SlotState.Reserved;
   }
 
   private accept(): void {
     const { session, slot } = this.options;
-    session.parts.slots.mark(slot, SlotState.Loading);
-    this.acceptedAt = session.parts.timers.now();
-    this.proofsAtAcceptance = session.proofs;
+    session.context.slots.setState(slot, SlotState.Loading);
+    this.acceptedAt = session.context.timers.now();
+    this.reportsAtAcceptance = session.verifiedReports;
   }
 
   /**
-   * The engine says that the adapter is in place already. That fits where a request did not find it and it is asked for
-   * anew; elsewhere the table says that it is not there, and one of both is wrong.
+   * Handles an engine that reports the adapter as already resident. That is expected for a reload after a
+   * request did not find the adapter. Otherwise the slot table disagrees with the engine, and a new report is
+   * needed.
    */
-  private async hearDone(): Promise<void> {
+  private async handleDone(): Promise<void> {
     const { session, slot } = this.options;
-    if (slot.beneath === slot.version) {
-      slot.beneath = undefined;
-      slot.isSeen = true;
-      this.arrive();
+    if (slot.replacedVersion === slot.version) {
+      slot.replacedVersion = undefined;
+      slot.isConfirmedResident = true;
+      this.complete();
       return;
     }
-    session.parts.orders.doubt();
-    await this.waitForProof();
+    session.context.orders.invalidate();
+    await this.waitForReport();
   }
 
-  /** Looks whether the engine is done. */
-  private async follow(): Promise<void> {
+  /** Polls whether the load is done. */
+  private async poll(): Promise<void> {
     const { session, slot } = this.options;
-    if (slot.version < this.version) this.rejectWaiting(`An older version of ${slot.key} is on its way.`);
-    const outcome = await session.parts.orders.look(OrderKind.Load, this.ref());
-    if (session.isOver || slot.state !== SlotState.Loading) return;
+    if (slot.version < this.version)
+      this.rejectRequests(`The engine is loading an older version of ${slot.key}.`);
+    const outcome = await session.context.orders.poll(OrderKind.Load, this.target());
+    if (session.isEnded || slot.state !== SlotState.Loading) return;
     if (outcome === OrderOutcome.Done) {
-      slot.isSeen = true;
-      this.arrive();
+      slot.isConfirmedResident = true;
+      this.complete();
       return;
     }
-    if (!FOLLOWED.has(outcome)) this.rejectWaiting(`Its load is ${outcome}.`);
-    await this.pause();
+    if (!IN_PROGRESS.has(outcome)) this.rejectRequests(`The load order was answered ${outcome}.`);
+    await this.pauseBeforePoll();
   }
 
-  private get isLate(): boolean {
-    return this.options.session.parts.timers.now() - this.startedAt >= LOAD_LIMIT_MS;
+  private get hasTimedOut(): boolean {
+    return this.options.session.context.timers.now() - this.startedAt >= LOAD_TIMEOUT_MS;
   }
 
   /**
-   * What is ordered. An order that names no version asks for the newest: repeated after a newer one was declared, it would
-   * begin another load.
+   * Returns the adapter and the exact version to order. An order without a version asks for the newest; if a
+   * newer version were declared meanwhile, repeating such an order would start another load.
    */
-  private ref(): OrderedRef {
+  private target(): OrderTarget {
     const { slot } = this.options;
-    return { ...refOf(slot), version: slot.version };
+    return { ...adapterOf(slot), version: slot.version };
   }
 
-  private async waitForProof(): Promise<void> {
+  private async waitForReport(): Promise<void> {
     const { session } = this.options;
-    const { timers } = session.parts;
-    const { proofs } = session;
-    while (proofs === session.proofs && !session.isOver) {
-      if (this.isLate) this.rejectWaiting('There was no answer to its load.');
-      await timers.sleep(BUSY_MS);
+    const { timers } = session.context;
+    const { verifiedReports: reportsBefore } = session;
+    while (reportsBefore === session.verifiedReports && !session.isEnded) {
+      if (this.hasTimedOut) this.rejectRequests('The engine did not respond to the load order in time.');
+      await timers.sleep(BUSY_RETRY_MS);
     }
   }
 
-  private async pause(): Promise<void> {
-    const { session, slot, times } = this.options;
-    const { timers } = session.parts;
-    if (this.isLate) this.rejectWaiting('It did not load in time.');
-    const pollMs = this.isAwaited ? POLL_MS : SLOW_POLL_MS;
-    const isFirst = this.isFirstLook && this.acceptedAt !== undefined;
-    this.isFirstLook = false;
-    const guessedMs = isFirst ? times.expectedMs(slot.key) * FIRST_LOOK_SHARE : 0;
-    await timers.sleep(Math.max(pollMs, guessedMs));
+  private async pauseBeforePoll(): Promise<void> {
+    const { session, slot, loadTimes } = this.options;
+    const { timers } = session.context;
+    if (this.hasTimedOut) this.rejectRequests('The adapter did not load in time.');
+    const pollMs = this.isAwaited ? POLL_MS : IDLE_POLL_MS;
+    const isFirst = this.isFirstPoll && this.acceptedAt !== undefined;
+    this.isFirstPoll = false;
+    const estimatedMs = isFirst ? loadTimes.expectedMs(slot.key) * FIRST_POLL_SHARE : 0;
+    await timers.sleep(Math.max(pollMs, estimatedMs));
   }
 
-  private arrive(): void {
-    const { session, slot, wanted } = this.options;
-    const { slots, onArrival } = session.parts;
-    slots.mark(slot, SlotState.Held);
-    slot.watcher = undefined;
-    if (wanted !== undefined && this.isAwaited) {
-      this.noteLoaded(wanted);
+  private complete(): void {
+    const { session, slot, pending } = this.options;
+    const { slots, onLoaded } = session.context;
+    slots.setState(slot, SlotState.Resident);
+    slot.loadTask = undefined;
+    if (pending !== undefined && this.isAwaited) {
+      this.recordLoad(pending);
       this.isAwaited = false;
-      wanted.resolve();
+      pending.resolve();
     }
-    if (slot.beneath !== undefined) void this.freeBeneath();
-    onArrival(slot);
+    if (slot.replacedVersion !== undefined) void this.releaseReplacedVersion();
+    onLoaded(slot);
   }
 
-  private noteLoaded(wanted: Wanted): void {
-    const { session, slot, times } = this.options;
-    const { timers, log, replica } = session.parts;
+  private recordLoad(pending: PendingLoad): void {
+    const { session, slot, loadTimes } = this.options;
+    const { timers, log, replica } = session.context;
     const tookMs = timers.now() - (this.acceptedAt ?? this.startedAt);
     log.detail('adapter.loaded', `Loaded ${slot.key}.`, {
       replica: replica.id,
       adapter: slot.key,
       version: slot.version,
       tookMs: Math.round(tookMs),
-      queuedMs: Math.round(this.startedAt - wanted.askedAt),
-      wasHeldBefore: times.wasLoaded(slot.key),
+      queuedMs: Math.round(this.startedAt - pending.requestedAt),
+      wasHeldBefore: loadTimes.wasLoadedBefore(slot.key),
     });
-    // Where the engine was lost sight of, the time tells nothing of the load, and would put off the looks at later ones.
-    const wasSeenThrough = this.acceptedAt !== undefined && this.proofsAtAcceptance === session.proofs;
-    if (wasSeenThrough) times.learn(slot.key, tookMs);
+    // If the connection was lost meanwhile, the measured time says nothing about the load and would delay the
+    // polls of later loads.
+    const wasFollowedThroughout =
+      this.acceptedAt !== undefined && this.reportsAtAcceptance === session.verifiedReports;
+    if (wasFollowedThroughout) loadTimes.record(slot.key, tookMs);
   }
 
   /**
-   * Counts the slot of the older version as free when a report says that it is gone. The answer that the newer one is in
-   * place does not show it: no count would tell if it were the answer to another order.
+   * Releases the slot of the older version once a report shows that version as gone. The response that the
+   * newer version is resident is not sufficient: if it belonged to another order, no sequence number would
+   * reveal it.
    */
-  private async freeBeneath(): Promise<void> {
+  private async releaseReplacedVersion(): Promise<void> {
     const { session, slot } = this.options;
-    const { orders, timers, onRoom } = session.parts;
+    const { orders, timers, onSlotAvailable } = session.context;
     const { version } = slot;
     const isWaiting = (): boolean =>
-      !session.isOver &&
-      slot.state === SlotState.Held &&
+      !session.isEnded &&
+      slot.state === SlotState.Resident &&
       slot.version === version &&
-      slot.beneath !== undefined;
+      slot.replacedVersion !== undefined;
     while (isWaiting()) {
-      await timers.sleep(REPLACED_POLL_MS);
-      const report = isWaiting() ? await orders.confirm() : undefined;
-      if (report === undefined || !isWaiting() || !showsInPlace(report, slot)) continue;
-      slot.beneath = undefined;
-      onRoom();
+      await timers.sleep(REPLACEMENT_POLL_MS);
+      const report = isWaiting() ? await orders.confirmResponses() : undefined;
+      if (report === undefined || !isWaiting() || !showsResident(report, slot)) continue;
+      slot.replacedVersion = undefined;
+      onSlotAvailable();
     }
   }
 
-  /** The engine has not accepted the load: the slot is as it was before. */
-  private giveBack(outcome: OrderOutcome): void {
+  /** Restores the slot to its previous state after the engine has not accepted the load. */
+  private revert(outcome: OrderOutcome): void {
     const { session, slot } = this.options;
-    const { slots, onHoldings, onRoom } = session.parts;
-    const { beneath, version } = slot;
-    slot.watcher = undefined;
-    if (beneath === undefined) session.free(slot.key, `its load ended as ${outcome}`);
+    const { slots, onResidencyChange, onSlotAvailable } = session.context;
+    const { replacedVersion, version } = slot;
+    slot.loadTask = undefined;
+    if (replacedVersion === undefined) session.releaseSlot(slot.key, `load not accepted: ${outcome}`);
     else {
-      slots.mark(slot, beneath < version ? SlotState.Held : SlotState.Doubted);
-      slot.version = beneath;
-      slot.beneath = undefined;
-      onHoldings();
+      slots.setState(slot, replacedVersion < version ? SlotState.Resident : SlotState.Doubted);
+      slot.version = replacedVersion;
+      slot.replacedVersion = undefined;
+      onResidencyChange();
     }
-    this.rejectWaiting(`Loading ${slot.key} ended as ${outcome}.`);
-    onRoom();
+    this.rejectRequests(`The load of ${slot.key} was not accepted: ${outcome}.`);
+    onSlotAvailable();
   }
 
-  /** The requests that wait go elsewhere; the load itself is followed on. */
-  private rejectWaiting(reason: string): void {
+  /** Rejects waiting requests, which then try elsewhere; the load itself is still followed. */
+  private rejectRequests(reason: string): void {
     if (!this.isAwaited) return;
     this.isAwaited = false;
-    this.options.wanted?.reject(new AdapterUnavailable(reason));
+    this.options.pending?.reject(new AdapterUnavailable(reason));
   }
 }
 
-/** Whether a report lists the adapter of a slot as in place, and no other version of it on its way. */
-function showsInPlace({ models, loading }: EngineReport, { key, version }: Slot): boolean {
-  const isComing = loading.some(({ model, adapter }) => adapterKey(model, adapter) === key);
-  if (isComing) return false;
+/** Returns whether a report lists the adapter of a slot as resident, with no version of it still loading. */
+function showsResident({ models, loading }: EngineReport, { key, version }: Slot): boolean {
+  const isLoading = loading.some(({ model, adapter }) => adapterKey(model, adapter) === key);
+  if (isLoading) return false;
   return models.some(({ name, adapters }) =>
-    adapters.some((held) => adapterKey(name, held.name) === key && held.version >= version),
+    adapters.some((resident) => adapterKey(name, resident.name) === key && resident.version >= version),
   );
 }
--- a/packages/routing/src/core/adapters/adapter-loader.ts
+++ b/packages/routing/src/core/adapters/adapter-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Adapters over the whole fleet: the owners of this daemon's engines, and the way to the daemons that keep the
- * others.
+ * Loads adapters on any engine of the fleet: through the engine's owner in this daemon, or by a request to
+ * the daemon that owns it.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
@@ -15,30 +15,30 @@
 import { adapterKey, AdapterUnavailable } from './types.js';
 
 /** Options of the loader. */
-export interface LoaderOptions {
+export interface AdapterLoaderOptions {
   readonly self: string;
   readonly cluster: Pick<Cluster, 'request'>;
   readonly leases: EngineLeases;
   readonly registry: ReplicaRegistry;
   readonly residency: ResidencyTable;
   readonly control: EngineControl;
-  /** Whether engines refuse orders with older tokens. */
+  /** Whether engines reject orders with older fencing tokens. */
   readonly isFenced: boolean;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  /** Publishes what an engine of this daemon holds. */
+  /** Publishes the models and adapters resident on an engine that this daemon owns. */
   readonly publishHoldings: (residency: Holdings) => void;
-  /** Publishes that a replica has started again. */
+  /** Publishes that a replica has restarted. */
   readonly publishStart: (start: ReplicaStart) => void;
 }
 
-/** Body of a request to the daemon that keeps an engine. */
+/** Body of the request to the daemon that owns an engine. */
 export interface EnsureWanted extends AdapterRef, Urgency {
   readonly replica: string;
 }
 
-/** How urgent the load of a newer version is: as the most urgent request. */
-const UPGRADE: Urgency = {
+/** Urgency of loading a newer version: the same as the most urgent request. */
+const UPGRADE_URGENCY: Urgency = {
   rank: 0,
   waitedMs: 0,
   dueInMs: 0,
@@ -47,74 +47,64 @@
   timeoutMs: 5000,
 };
 
-/** Has adapters loaded, here or through another daemon. */
+/** Makes adapters resident on engines, through local or remote owners. */
 export class Loader {
   private readonly owners = new Map<string, EngineOwner>();
 
-  /**
-   * Makes a loader.
-   * @param options - The fleet and the engines.
-   */
-  constructor(private readonly options: LoaderOptions) {
+  constructor(private readonly options: AdapterLoaderOptions) {
     options.registry.onReplica((id, entry) => {
-      // What waits for a leaving engine must go elsewhere at once.
-      if (entry?.state === ReplicaState.Leaving) this.drop(id);
+      // Requests that wait for a leaving engine must go elsewhere immediately.
+      if (entry?.state === ReplicaState.Leaving) this.removeOwner(id);
     });
   }
 
   /**
-   * Has an adapter on an engine, unless its load can't begin in time.
-   * @param replica - The engine.
-   * @param ref - The adapter.
-   * @param urgency - Rank and longest waits.
-   * @returns Whether it is in place; if not, the residency table knows the engine's free slots.
-   * @throws AdapterUnavailable or Error when it can't be had there.
+   * Makes an adapter resident on an engine, unless its load can't start in time.
+   * @returns Whether the adapter is resident; if not, the residency table has the engine's slot availability.
+   * @throws AdapterUnavailable or Error when the adapter can't be loaded there.
    */
   async ensure(replica: ReplicaEntry, ref: AdapterRef, urgency: Urgency): Promise<boolean> {
     const { leases, self, cluster, residency } = this.options;
     const lease = leases.of(replica.id);
-    if (lease === undefined) throw new AdapterUnavailable('Nobody gives this engine orders now.');
-    residency.takeSlot(replica.id);
-    const wanted: EnsureWanted = { ...ref, ...urgency, replica: replica.id };
-    const slots =
+    if (lease === undefined) throw new AdapterUnavailable('The engine has no owner at present.');
+    residency.reserveSlot(replica.id);
+    const request: EnsureWanted = { ...ref, ...urgency, replica: replica.id };
+    const availability =
       lease.holder === self
-        ? await this.ensureHere(wanted)
-        : await cluster.request(lease.holder, MessageType.Ensure, wanted, urgency.timeoutMs);
+        ? await this.ensureHere(request)
+        : await cluster.request(lease.holder, MessageType.Ensure, request, urgency.timeoutMs);
     // MessagePack has no undefined.
-    if (slots === undefined || slots === null) return true;
-    residency.updateSlots(slots as SlotAvailability);
+    if (availability === undefined || availability === null) return true;
+    residency.updateSlots(availability as SlotAvailability);
     return false;
   }
 
   /**
-   * Has an adapter on an engine that this daemon keeps.
-   * @param wanted - Engine, adapter, longest waits.
-   * @returns Nothing when it is in place; how the slots stand when its turn has not come.
-   * @throws AdapterUnavailable when it can't be had in time.
+   * Makes an adapter resident on an engine that this daemon owns.
+   * @returns Undefined when the adapter is resident; the slot availability when its load could not start in
+   *   time.
+   * @throws AdapterUnavailable when the adapter can't be loaded within its timeout.
    */
-  async ensureHere(wanted: EnsureWanted): Promise<SlotAvailability | undefined> {
-    const { replica, model, adapter, version, isDoubted, timeoutMs } = wanted;
+  async ensureHere(request: EnsureWanted): Promise<SlotAvailability | undefined> {
+    const { replica, model, adapter, version, isDoubted, timeoutMs } = request;
     const owner = this.owners.get(replica);
-    if (owner === undefined) throw new AdapterUnavailable('This daemon does not keep the engine.');
-    const limit = new AbortController();
-    const timedOut = this.options.timers.sleep(timeoutMs, limit.signal).then(
+    if (owner === undefined) throw new AdapterUnavailable('This daemon does not own the engine.');
+    const timerAbort = new AbortController();
+    const timedOut = this.options.timers.sleep(timeoutMs, timerAbort.signal).then(
       () => {
-        throw new AdapterUnavailable(`Not loaded within ${timeoutMs} ms.`);
+        throw new AdapterUnavailable(`The adapter was not loaded within ${timeoutMs} ms.`);
       },
       () => undefined,
     );
     try {
       const ref = { model, adapter, version: version ?? undefined, isDoubted: isDoubted ?? false };
-      return await Promise.race([owner.ensure(ref, wanted), timedOut]);
+      return await Promise.race([owner.ensure(ref, request), timedOut]);
     } finally {
-      limit.abort();
+      timerAbort.abort();
     }
   }
 
-  /**
-   * Begins to keep an engine.
-   * @param lease - This daemon's lease.
-   */
+  /** Starts the owner of an engine whose lease this daemon has acquired. */
   gain(lease: EngineLease): void {
     const { registry, leases, control, isFenced, timers, log, self } = this.options;
     const replica = registry.replica(lease.replica);
@@ -128,79 +118,71 @@
       isFenced,
       timers,
       log,
-      authority: () => leases.authority(replica.id),
+      fencingToken: () => leases.authority(replica.id),
       onFenced: (token) => leases.refused(replica.id, token),
-      onHoldings: (residency) => this.tell(residency),
-      onStart: (bornAt) => this.tellStart(replica, bornAt),
+      onResidencyChange: (residency) => this.publishResidency(residency),
+      onRestart: (bornAt) => this.publishRestart(replica, bornAt),
     });
     this.owners.set(replica.id, owner);
     void owner.run();
   }
 
-  /**
-   * Ends to keep an engine.
-   * @param lease - The lease that was lost.
-   */
+  /** Stops the owner of an engine whose lease this daemon has lost. */
   lose(lease: EngineLease): void {
-    this.drop(lease.replica);
+    this.removeOwner(lease.replica);
   }
 
-  /** Gives all engines up. */
+  /** Stops all owners. */
   close(): void {
     for (const owner of this.owners.values()) owner.stop();
     this.owners.clear();
   }
 
   /**
-   * Notes uses that a daemon told.
-   * @param replica - The engine.
+   * Records requests that a daemon has reported for an adapter.
    * @param key - `model/adapter`.
-   * @param uses - Requests begun since it told last.
+   * @param uses - Requests started since its previous report.
    */
   use(replica: string, key: string, uses: number): void {
-    this.owners.get(replica)?.use(key, uses);
+    this.owners.get(replica)?.recordUses(key, uses);
   }
 
   /**
-   * Tells the owners how many requests run on each adapter.
-   * @param running - Counts the requests of an engine by `model/adapter`.
+   * Updates the number of running requests per adapter on all engines of this daemon.
+   * @param running - Returns an engine's running requests by `model/adapter`.
    */
   refreshRunning(running: (replica: string) => ReadonlyMap<string, number>): void {
     const { log } = this.options;
     for (const [replica, owner] of this.owners) {
       owner.setRunning(running(replica));
-      if (log.hasDetails) log.detail('slots', owner.describe(), { replica });
+      if (log.hasDetails) log.detail('slots', owner.describeSlots(), { replica });
     }
   }
 
-  /**
-   * Replaces an adapter everywhere it is held in an older version.
-   * @param model - Base model.
-   * @param adapter - Adapter.
-   * @param version - Its newest version.
-   */
+  /** Loads a newer version of an adapter on every engine of this daemon that holds an older one. */
   upgrade(model: string, adapter: string, version: number): void {
     const key = adapterKey(model, adapter);
     for (const [replica, owner] of this.owners) {
-      if (!owner.holdsOlder(key, version)) continue;
-      owner.ensure({ model, adapter, version }, UPGRADE).catch((err: unknown) => {
-        this.options.log.warn(`Version ${version} of ${key} did not load on ${replica}: ${String(err)}.`);
+      if (!owner.hasOlderVersion(key, version)) continue;
+      owner.ensure({ model, adapter, version }, UPGRADE_URGENCY).catch((err: unknown) => {
+        this.options.log.warn(
+          `Version ${version} of ${key} could not be loaded on ${replica}: ${String(err)}.`,
+        );
       });
     }
   }
 
   /**
-   * Tells the owner of an engine at once how many requests run on each adapter, so that a free slot is used.
-   * @param replica - The engine.
-   * @param running - Requests by `model/adapter`, over all daemons.
+   * Updates the number of running requests on one engine immediately, so that a slot that has become
+   * evictable is used.
+   * @param running - Returns running requests by `model/adapter`, over all daemons.
    */
   setRunning(replica: string, running: () => ReadonlyMap<string, number>): void {
     this.owners.get(replica)?.setRunning(running());
   }
 
   /**
-   * Tells whether an adapter is in place on an engine that this daemon keeps.
-   * @param replica - The engine.
+   * Returns whether an adapter is resident on an engine that this daemon owns.
    * @param key - `model/adapter`.
    * @returns Undefined when it is not known.
    */
@@ -208,35 +190,35 @@
     return this.owners.get(replica)?.isResident(key);
   }
 
-  /** How the slots of this daemon's engines stand. */
+  /** Returns the slot availability of this daemon's engines. */
   slots(): SlotAvailability[] {
-    return [...this.owners.values()].map((owner) => owner.availability());
+    return [...this.owners.values()].map((owner) => owner.slotAvailability());
   }
 
-  /** What the engines of this daemon hold. */
-  mine(): Holdings[] {
-    const found: Holdings[] = [];
+  /** Returns what is resident on this daemon's engines, as far as it is known. */
+  residencies(): Holdings[] {
+    const residencies: Holdings[] = [];
     for (const owner of this.owners.values()) {
       const residency = owner.residency();
-      if (residency !== undefined) found.push(residency);
+      if (residency !== undefined) residencies.push(residency);
     }
-    return found;
+    return residencies;
   }
 
-  /** All daemons hear at once that an engine has started again; each then holds it for a new one. */
-  private tellStart({ id, name }: ReplicaEntry, bornAt: number): void {
+  /** Publishes a restart to all daemons; each then treats the engine as a new replica. */
+  private publishRestart({ id, name }: ReplicaEntry, bornAt: number): void {
     const { registry, log, publishStart } = this.options;
     if (!registry.noteStart({ name, bornAt })) return;
-    log.decide('replica.started-again', `Replica ${id} has started again.`, { replica: id, bornAt });
+    log.decide('replica.started-again', `Replica ${id} has restarted.`, { replica: id, bornAt });
     publishStart({ name, bornAt });
   }
 
-  private drop(replica: string): void {
+  private removeOwner(replica: string): void {
     this.owners.get(replica)?.stop();
     this.owners.delete(replica);
   }
 
-  private tell(residency: Holdings): void {
+  private publishResidency(residency: Holdings): void {
     this.options.residency.take(residency);
     this.options.publishHoldings(residency);
   }
--- a/packages/routing/src/core/adapters/capacity.ts
+++ b/packages/routing/src/core/adapters/capacity.ts
@@ -1,21 +1,21 @@
-/** How many adapters an engine holds beside its base models. */
+/** Computes how many adapters an engine can hold in addition to its base models. */
 import type { EngineSpec } from '../catalog/index.js';
 
 /**
- * Counts the adapters that an engine may hold: its slots, or fewer where its memory is smaller.
+ * Returns the adapter capacity of an engine: its slots, or fewer where its memory is the tighter limit.
  *
- * An engine that is ordered to load more crashes, with all that it runs.
- * @param engine - What the engines of the service are like.
- * @param models - Names of the base models in place.
- * @returns Adapters at most; 0 when the models leave no memory.
+ * An engine that is ordered to load more adapters than this crashes, along with every request running on it.
+ * @param models - Names of the resident base models.
+ * @returns 0 when the models leave no memory for adapters.
  */
-export function adapterPlaces(engine: EngineSpec, models: ReadonlySet<string>): number {
+export function adapterCapacity(engine: EngineSpec, models: ReadonlySet<string>): number {
   let freeMb = engine.memoryMb;
   let largestMb = 0;
   for (const { name, weightsMb, adapterMb } of engine.models) {
     if (!models.has(name)) continue;
     freeMb -= weightsMb;
-    // Adapters of several models share the memory; counting each as the largest never counts too few.
+    // Adapters of all models share the memory. Counting each at the size of the largest never underestimates
+    // their use.
     largestMb = Math.max(largestMb, adapterMb);
   }
   if (largestMb === 0) return engine.adapterSlots;
--- a/packages/routing/src/core/adapters/engine-owner.ts
+++ b/packages/routing/src/core/adapters/engine-owner.ts
@@ -1,310 +1,322 @@
 /**
- * Keeps one engine's adapters: loads what requests wait for, and makes room.
+ * Manages the adapters of one engine: loads those that requests wait for and evicts others to free slots.
  *
- * Runs in the daemon that holds the engine's lease. Its table never says less than the engine holds: it begins with a
- * report that is proved to be exact, a slot counts as free only when the engine has said so of an adapter that was in
- * place, and each order names the count of those that the engine has accepted. When an answer is lost a report is
- * proved anew.
+ * Runs in the daemon that holds the engine's lease. The slot table never lists less than the engine holds: it
+ * starts from a report that was verified to be current, a slot is released only when the engine has reported
+ * that a resident adapter was unloaded, and each order carries the number of orders that the engine has
+ * accepted. When a response is lost, a new report is verified.
  */
 import type { EngineSpec } from '../catalog/index.js';
 import { AdapterLoad } from './adapter-load.js';
-import { adoptReport } from './reconcile-slots.js';
-import { adapterPlaces } from './capacity.js';
+import { reconcileSlots } from './reconcile-slots.js';
+import { adapterCapacity } from './capacity.js';
 import { LoadTimes } from './load-times.js';
-import { EngineEmptyError, NumberedOrders } from './sequenced-orders.js';
+import { EngineEmptyError, SequencedOrders } from './sequenced-orders.js';
 import type { EngineOrdersOptions } from './orders.js';
 import { EngineOrders } from './orders.js';
-import type { Wanted } from './queue.js';
+import type { PendingLoad } from './queue.js';
 import { LoadQueue } from './queue.js';
 import { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
-import { isMoving, SlotState, SlotTable } from './slots.js';
+import { isInTransition, SlotState, SlotTable } from './slots.js';
 import type { AdapterRef, EngineReport, Holdings, SlotAvailability, Urgency } from './types.js';
 import { adapterKey, AdapterUnavailable, OrderKind, OrderOutcome } from './types.js';
-import { Unloads } from './unloader.js';
-
-/** Adapters that an engine takes in at once; the engines' protocol states it. */
-const MAX_LOADING = 4;
-/** Pause before an engine that could not be asked what it holds is asked again, in milliseconds. */
-const LEARN_PAUSE_MS = 320;
-/** Longest time for a load of a base model, in milliseconds. */
-const MODEL_LIMIT_MS = 60_000;
+import { Unloader } from './unloader.js';
+
+/** Limit of the engine protocol on concurrent adapter loads. */
+const MAX_CONCURRENT_LOADS = 4;
+/** Delay before requesting a report again after a failure, in milliseconds. */
+const REPORT_RETRY_MS = 320;
+/** Timeout for loading a base model, in milliseconds. */
+const MODEL_LOAD_TIMEOUT_MS = 60_000;
 const MODEL_POLL_MS = 200;
-/** Version of an adapter of which no newer one was declared. */
+/** Version of an adapter for which no newer one has been declared. */
 const FIRST_VERSION = 1;
-/** Free slots that are published of an engine that can't be reached. */
-const UNREACHABLE_SLOTS = -1;
+/** Published as the number of free slots while the engine is unreachable. */
+const UNREACHABLE_FREE_SLOTS = -1;
 
-/** Options of an owner. */
+/** Options of {@link EngineOwner}. */
 export interface EngineOwnerOptions extends Omit<
   EngineOrdersOptions,
   'onUnreachable' | 'onEmpty' | 'onDisconnect'
 > {
   readonly engine: EngineSpec;
-  /** Whether the engine refuses orders with older tokens. */
+  /** Whether the engine rejects orders with older fencing tokens. */
   readonly isFenced: boolean;
-  /** Called when what the engine holds has changed. */
-  readonly onHoldings: (residency: Holdings) => void;
+  /** Called when the set of resident adapters has changed. */
+  readonly onResidencyChange: (residency: Holdings) => void;
 }
 
-/** The owner of one engine. */
+/** Owner of one engine: decides which adapters are resident there and in which order loads start. */
 export class EngineOwner {
   private readonly orders: EngineOrders;
 
   private readonly queue: LoadQueue;
 
-  private readonly times = new LoadTimes();
+  private readonly loadTimes = new LoadTimes();
 
   private session: EngineSession;
 
-  private unloads: Unloads;
+  private unloader: Unloader;
 
   private isReady = false;
 
   private isStopped = false;
 
-  /** Whether what the engine holds is being found out again. */
-  private isProving = false;
+  /** Whether a report is being verified again. */
+  private isResynchronizing = false;
 
-  /** Whether the engine was found without any model, whatever its entry says. */
-  private isEmpty = false;
+  /** Whether the engine was found without a base model, whatever its registry entry says. */
+  private isKnownEmpty = false;
 
-  /**
-   * Makes an owner that has not started.
-   * @param options - The engine and how to talk to it.
-   */
   constructor(private readonly options: EngineOwnerOptions) {
     this.orders = new EngineOrders({
       ...options,
-      onUnreachable: () => this.queue.giveUp('The engine can’t be reached.'),
-      onEmpty: () => this.beginAnew(),
-      onDisconnect: () => this.session.parts.orders.lapse(),
+      onUnreachable: () => this.queue.rejectAll('The engine is unreachable.'),
+      onEmpty: () => this.restartSession(),
+      onDisconnect: () => this.session.context.orders.forgetSequence(),
     });
     this.queue = new LoadQueue(options.timers);
-    this.session = this.makeSession();
-    this.unloads = new Unloads(this.session);
+    this.session = this.createSession();
+    this.unloader = new Unloader(this.session);
   }
 
-  /** Learns what the engine holds, loads its base model when it has none, then serves the queue. */
+  /** Takes over the engine, loading its base model if it has none, then starts queued loads. */
   async run(): Promise<void> {
     const { log, replica, timers } = this.options;
     const { session } = this;
-    while (!this.isReady && !session.isOver) {
+    while (!this.isReady && !session.isEnded) {
       try {
-        await this.learn();
+        await this.takeOver();
       } catch (err) {
-        if (err instanceof EngineEmptyError) this.isEmpty = true;
-        log.warn(`Engine ${replica.id} can't be taken over yet: ${String(err)}.`);
-        await timers.sleep(LEARN_PAUSE_MS);
+        if (err instanceof EngineEmptyError) this.isKnownEmpty = true;
+        log.warn(`Taking over engine ${replica.id} failed, retrying: ${String(err)}.`);
+        await timers.sleep(REPORT_RETRY_MS);
       }
     }
-    this.pump();
+    this.startLoads();
   }
 
-  /** Gives the engine up: its requests must be asked of the next holder. */
+  /** Gives up the engine; waiting requests are rejected and have to ask its next owner. */
   stop(): void {
     this.isStopped = true;
     this.session.end();
     this.orders.disconnect();
-    this.queue.giveUp('The engine was given up.');
+    this.queue.rejectAll('This daemon no longer owns the engine.');
   }
 
   /**
-   * Has an adapter on the engine, unless its load can't begin in time.
-   * @param ref - The adapter.
-   * @param urgency - Rank and longest waits.
-   * @returns Nothing when it is in place; how the slots stand when its turn has not come.
-   * @throws AdapterUnavailable when it can't be had.
+   * Makes an adapter resident on the engine, unless its load can't start in time.
+   * @returns Undefined when the adapter is resident; the slot availability when the load could not start in
+   *   time.
+   * @throws AdapterUnavailable when the adapter can't be loaded here.
    */
   async ensure(ref: AdapterRef, urgency: Urgency): Promise<SlotAvailability | undefined> {
     const key = adapterKey(ref.model, ref.adapter);
-    if (this.isStopped) throw new AdapterUnavailable('The engine was given up.');
-    if (this.orders.isUnreachable) throw new AdapterUnavailable('The engine can’t be reached.');
+    if (this.isStopped) throw new AdapterUnavailable('This daemon no longer owns the engine.');
+    if (this.orders.isUnreachable) throw new AdapterUnavailable('The engine is unreachable.');
     const slot = this.slots.get(key);
-    if (slot !== undefined && !isMoving(slot) && slot.version >= (ref.version ?? 0)) {
-      slot.usedAt = this.options.timers.now();
-      if (ref.isDoubted || slot.state === SlotState.Doubted) await this.check(ref);
+    if (slot !== undefined && !isInTransition(slot) && slot.version >= (ref.version ?? 0)) {
+      slot.lastUsedAt = this.options.timers.now();
+      if (ref.isDoubted || slot.state === SlotState.Doubted) await this.reload(ref);
       return undefined;
     }
-    const known = this.queue.find(key);
-    if (known === undefined && urgency.patienceMs === 0 && !this.canBegin) return this.availability();
-    const wanted = known ?? this.queue.add(ref);
-    this.queue.hasten(wanted, urgency);
-    if (known === undefined) this.pump();
-    if (!(await this.queue.turnOf(wanted))) return this.availability();
-    await wanted.promise;
+    const existing = this.queue.find(key);
+    if (existing === undefined && urgency.patienceMs === 0 && !this.canStartLoad)
+      return this.slotAvailability();
+    const pending = existing ?? this.queue.add(ref);
+    this.queue.addRequest(pending, urgency);
+    if (existing === undefined) this.startLoads();
+    if (!(await this.queue.waitForStart(pending))) return this.slotAvailability();
+    await pending.loaded;
     return undefined;
   }
 
   /**
-   * Orders an adapter again that the table has and a request did not find: the engine says at once when it holds it, and
-   * loads it into the same slot when it does not.
+   * Orders an adapter again that the table lists as resident but a request did not find. An engine that holds
+   * the adapter says so immediately; otherwise it loads it into the same slot.
    */
-  private check(ref: AdapterRef): Promise<void> {
-    const wanted = this.queue.add(ref);
-    this.start(wanted);
-    return wanted.promise;
+  private reload(ref: AdapterRef): Promise<void> {
+    const pending = this.queue.add(ref);
+    this.startLoad(pending);
+    return pending.loaded;
   }
 
-  /** Whether one more load could begin now. */
-  private get canBegin(): boolean {
-    return this.queue.size < Math.min(this.free, MAX_LOADING - this.slots.loading);
+  /** Whether one more load could start now. */
+  private get canStartLoad(): boolean {
+    return this.queue.size < Math.min(this.freeSlots, MAX_CONCURRENT_LOADS - this.slots.loading);
   }
 
   /**
-   * Slots that are free or could be freed at once. There are none while an unload waits for its runs: that may take
-   * seconds, in which the engine takes no order, and requests are better served elsewhere.
+   * Slots that are free or can be freed immediately. None count while an unload waits for running requests to
+   * end: that can take seconds, during which the engine accepts no order, so requests are better served
+   * elsewhere.
    */
-  private get free(): number {
-    if (!this.isReady || this.session.parts.orders.isBlocked) return 0;
-    return this.places - this.slots.occupied + this.slots.evictable;
+  private get freeSlots(): number {
+    if (!this.isReady || this.session.context.orders.isBlocked) return 0;
+    return this.capacity - this.slots.occupied + this.slots.evictable;
   }
 
   /**
-   * Notes what a daemon told of its requests.
+   * Records requests that a daemon has reported.
    * @param key - `model/adapter`.
-   * @param uses - Requests since it told last.
+   * @param uses - Requests since its previous report.
    */
-  use(key: string, uses: number): void {
-    this.slots.use(key, uses);
+  recordUses(key: string, uses: number): void {
+    this.slots.recordUses(key, uses);
   }
 
   /**
-   * Notes how many requests run on each adapter, over all daemons.
-   * @param running - By `model/adapter`.
+   * Updates the number of requests running on each adapter, over all daemons.
+   * @param running - By `model/adapter`; adapters that are missing count as idle.
    */
   setRunning(running: ReadonlyMap<string, number>): void {
     for (const slot of this.slots.all()) slot.running = running.get(slot.key) ?? 0;
   }
 
   /**
-   * Tells whether an older version of an adapter is in place.
+   * Returns whether a resident adapter is older than the given version and must be replaced.
    * @param key - `model/adapter`.
-   * @param version - The newest version.
-   * @returns Whether it must be replaced.
    */
-  holdsOlder(key: string, version: number): boolean {
+  hasOlderVersion(key: string, version: number): boolean {
     const slot = this.slots.get(key);
-    return slot?.state === SlotState.Held && slot.version < version;
+    return slot?.state === SlotState.Resident && slot.version < version;
   }
 
   /**
-   * Tells whether a request may be sent for an adapter; one that is in place counts as used.
+   * Returns whether a request may be sent for an adapter, and marks a resident adapter as used.
    * @param key - `model/adapter`.
-   * @returns Undefined while it is not known what the engine holds.
+   * @returns Undefined while it is unknown what the engine holds.
    */
   isResident(key: string): boolean | undefined {
     if (!this.isReady) return undefined;
     const slot = this.slots.get(key);
-    if (slot === undefined || isMoving(slot)) return false;
-    slot.usedAt = this.options.timers.now();
+    if (slot === undefined || isInTransition(slot)) return false;
+    slot.lastUsedAt = this.options.timers.now();
     return true;
   }
 
-  /** What the engine holds. */
+  /**
+   * Returns the resident models and adapters; undefined while they are unknown or this daemon has no valid
+   * token.
+   */
   residency(): Holdings | undefined {
-    const token = this.options.authority();
+    const token = this.options.fencingToken();
     if (!this.isReady || token === undefined) return undefined;
     const adapters: Record<string, number> = {};
     for (const { key, version, state } of this.slots.all())
-      if (state === SlotState.Held) adapters[key] = version;
+      if (state === SlotState.Resident) adapters[key] = version;
     return { replica: this.options.replica.id, token, models: [...this.session.models], adapters };
   }
 
-  private async learn(): Promise<void> {
+  private async takeOver(): Promise<void> {
     const { replica, engine } = this.options;
     const { session } = this;
-    const { orders } = session.parts;
-    const first = this.isEmpty ? undefined : replica.models?.[0]?.name;
-    const model = first ?? engine.models[0]?.name;
-    if (model === undefined) throw new AdapterUnavailable('Its service names no base model.');
-    if (first === undefined && (await this.loadModel(model)) && (await orders.proveFresh(model)))
+    const { orders } = session.context;
+    const reportedModel = this.isKnownEmpty ? undefined : replica.models?.[0]?.name;
+    const model = reportedModel ?? engine.models[0]?.name;
+    if (model === undefined)
+      throw new AdapterUnavailable('The service of the engine configures no base model.');
+    if (
+      reportedModel === undefined &&
+      (await this.loadModel(model)) &&
+      (await orders.synchronizeFresh(model))
+    )
       session.models.add(model);
-    else await orders.prove(model, (report) => this.take(report));
-    this.isReady = !session.isOver;
-    this.tell();
+    else await orders.synchronize(model, (report) => this.applyReport(report));
+    this.isReady = !session.isEnded;
+    this.publishResidency();
   }
 
-  /** Takes over what a report says that was proved to be exact. */
-  private take(report: EngineReport): void {
-    adoptReport(this.session, report, (slot) => {
-      void this.makeLoad(slot, undefined).run();
+  /** Rebuilds the slot table from a verified report. */
+  private applyReport(report: EngineReport): void {
+    reconcileSlots(this.session, report, (slot) => {
+      void this.createLoad(slot, undefined).run();
     });
-    this.noteLearnt(report);
+    this.logReport(report);
   }
 
-  private noteLearnt(report: EngineReport): void {
-    const { log, replica, authority } = this.options;
-    log.decide('engine.learnt', `Knows what engine ${replica.id} holds.`, {
+  private logReport(report: EngineReport): void {
+    const { log, replica, fencingToken } = this.options;
+    log.decide('engine.learnt', `Verified a report of engine ${replica.id}.`, {
       replica: replica.id,
-      token: authority(),
+      token: fencingToken(),
       sequence: report.sequence,
       occupied: this.slots.occupied,
       onTheirWay: report.loading.length,
       running: report.running,
-      places: this.places,
+      places: this.capacity,
     });
   }
 
-  /** Finds out again what the engine holds, when an answer was lost or the engine has accepted what is not known here. */
-  private async proveAgain(): Promise<void> {
+  /**
+   * Verifies a new report after a response was lost, or after the engine accepted an order that is unknown
+   * here.
+   */
+  private async resynchronize(): Promise<void> {
     const { session } = this;
-    const { orders } = session.parts;
+    const { orders } = session.context;
     const { log, replica, timers } = this.options;
     const [model] = session.models;
-    if (this.isProving || !this.isReady || model === undefined) return;
-    this.isProving = true;
-    while (!session.isOver && !orders.isExact) {
+    if (this.isResynchronizing || !this.isReady || model === undefined) return;
+    this.isResynchronizing = true;
+    while (!session.isEnded && !orders.isSynchronized) {
       try {
-        await orders.prove(model, (report) => this.take(report));
-        this.tell();
+        await orders.synchronize(model, (report) => this.applyReport(report));
+        this.publishResidency();
       } catch (err) {
         if (err instanceof EngineEmptyError) {
-          this.beginAnew();
+          this.restartSession();
           break;
         }
-        log.warn(`What engine ${replica.id} holds can't be learnt yet: ${String(err)}.`);
-        await timers.sleep(LEARN_PAUSE_MS);
+        log.warn(`Verifying a report of engine ${replica.id} failed, retrying: ${String(err)}.`);
+        await timers.sleep(REPORT_RETRY_MS);
       }
     }
-    if (session === this.session) this.isProving = false;
-    this.pump();
+    if (session === this.session) this.isResynchronizing = false;
+    this.startLoads();
   }
 
-  private makeSession(): EngineSession {
+  private createSession(): EngineSession {
     const { replica, timers, log, isFenced } = this.options;
-    const onDoubt = (): void => {
-      void this.proveAgain();
+    const onInvalidated = (): void => {
+      void this.resynchronize();
     };
     return new EngineSession({
       replica,
       timers,
       log,
-      orders: new NumberedOrders({ replica, timers, orders: this.orders, isFenced, onDoubt }),
+      orders: new SequencedOrders({
+        replica,
+        timers,
+        orders: this.orders,
+        isFenced,
+        onInvalidated,
+      }),
       slots: new SlotTable(timers),
       isFenced,
-      places: () => this.places,
-      onHoldings: () => this.tell(),
-      onArrival: ({ key, version }) => {
-        this.queue.fulfil(key, version);
-        this.tell();
-        this.pump();
+      capacity: () => this.capacity,
+      onResidencyChange: () => this.publishResidency(),
+      onLoaded: ({ key, version }) => {
+        this.queue.complete(key, version);
+        this.publishResidency();
+        this.startLoads();
       },
-      onRoom: () => this.pump(),
+      onSlotAvailable: () => this.startLoads(),
     });
   }
 
   /**
    * Loads a base model.
-   * @param model - The model.
-   * @returns Whether it was not in place when this daemon's first order came.
+   * @returns Whether the model was absent when this daemon's first order arrived.
+   * @throws AdapterUnavailable when the model does not load in time, or the order is fenced or misdirected.
    */
   private async loadModel(model: string): Promise<boolean> {
     const { timers, log, replica } = this.options;
-    const end = timers.now() + MODEL_LIMIT_MS;
-    log.info(`Engine ${replica.id} holds no model; loading ${model}.`);
+    const deadlineAt = timers.now() + MODEL_LOAD_TIMEOUT_MS;
+    log.info(`Engine ${replica.id} has no base model; loading ${model}.`);
     let wasAbsent = false;
-    while (timers.now() < end && !this.isStopped) {
+    while (timers.now() < deadlineAt && !this.isStopped) {
       this.orders.connect();
       const outcome = await this.orders.send(OrderKind.Load, {
         model,
@@ -316,85 +328,94 @@
       if (outcome === OrderOutcome.Misdirected || outcome === OrderOutcome.Fenced) break;
       await timers.sleep(MODEL_POLL_MS);
     }
-    throw new AdapterUnavailable(`Model ${model} did not load.`);
+    throw new AdapterUnavailable(`Base model ${model} could not be loaded.`);
   }
 
-  /** Starts as many loads as the engine takes. */
-  private pump(): void {
+  /** Starts as many queued loads as the engine accepts concurrently. */
+  private startLoads(): void {
     if (!this.isReady || this.isStopped) return;
-    while (this.slots.loading < MAX_LOADING) {
-      // What is on its way, in or out, must be there first, or two orders for one adapter could overtake each other.
-      const wanted = this.queue.next((key) => {
+    while (this.slots.loading < MAX_CONCURRENT_LOADS) {
+      // A load or unload of the same adapter must end first; otherwise two orders for it could overtake each
+      // other.
+      const pending = this.queue.next((key) => {
         const slot = this.slots.get(key);
-        return slot !== undefined && isMoving(slot);
+        return slot !== undefined && isInTransition(slot);
       });
-      if (wanted === undefined) return;
-      // A newer version takes a slot of its own until the older one has gone.
-      if (this.slots.occupied >= this.places) {
-        void this.unloads.makeRoom();
+      if (pending === undefined) return;
+      // A newer version occupies a slot of its own until the older version is gone.
+      if (this.slots.occupied >= this.capacity) {
+        void this.unloader.freeSlot();
         return;
       }
-      this.start(wanted);
+      this.startLoad(pending);
     }
   }
 
-  private start(wanted: Wanted): void {
-    this.queue.begin(wanted);
-    const previous = this.slots.get(wanted.key);
+  private startLoad(pending: PendingLoad): void {
+    this.queue.start(pending);
+    const previous = this.slots.get(pending.key);
     const previousVersion = previous?.version;
-    const version = Math.max(wanted.version ?? FIRST_VERSION, previousVersion ?? FIRST_VERSION);
-    const slot = this.slots.put(wanted.key, version, SlotState.Reserved);
-    slot.beneath = previousVersion;
-    if (previousVersion !== undefined) this.tell();
-    void this.makeLoad(slot, wanted).run();
+    const version = Math.max(pending.version ?? FIRST_VERSION, previousVersion ?? FIRST_VERSION);
+    const slot = this.slots.put(pending.key, version, SlotState.Reserved);
+    slot.replacedVersion = previousVersion;
+    if (previousVersion !== undefined) this.publishResidency();
+    void this.createLoad(slot, pending).run();
   }
 
-  private makeLoad(slot: Slot, wanted: Wanted | undefined): AdapterLoad {
-    const { session, times } = this;
-    return new AdapterLoad({ session, times, slot, wanted });
+  private createLoad(slot: Slot, pending: PendingLoad | undefined): AdapterLoad {
+    const { session, loadTimes } = this;
+    return new AdapterLoad({ session, loadTimes, slot, pending });
   }
 
-  /** The engine holds no model any more, under the name and without word of a new start: what was known of it is void. */
-  private beginAnew(): void {
+  /**
+   * Starts over after the engine lost its model while keeping its name and without reporting a restart:
+   * everything known about it is void.
+   */
+  private restartSession(): void {
     const { log, replica } = this.options;
     if (!this.isReady || this.isStopped) return;
-    log.decide('engine.empty', `Engine ${replica.id} holds nothing any more.`, { replica: replica.id });
+    log.decide('engine.empty', `Engine ${replica.id} has lost its base model and adapters.`, {
+      replica: replica.id,
+    });
     this.isReady = false;
-    this.isProving = false;
+    this.isResynchronizing = false;
     this.session.end();
     this.orders.disconnect();
-    this.queue.giveUp('The engine has lost its model.');
-    this.isEmpty = true;
-    this.session = this.makeSession();
-    this.unloads = new Unloads(this.session);
+    this.queue.rejectAll('The engine has lost its base model.');
+    this.isKnownEmpty = true;
+    this.session = this.createSession();
+    this.unloader = new Unloader(this.session);
     void this.run();
   }
 
   private get slots(): SlotTable {
-    return this.session.parts.slots;
+    return this.session.context.slots;
   }
 
-  /** Adapters that the engine may hold. */
-  private get places(): number {
-    return adapterPlaces(this.options.engine, this.session.models);
+  /** Number of adapters that the engine can hold. */
+  private get capacity(): number {
+    return adapterCapacity(this.options.engine, this.session.models);
   }
 
-  /** How the engine's slots stand. */
-  availability(): SlotAvailability {
+  /** Returns the availability of the engine's slots, with queued loads deducted from the free ones. */
+  slotAvailability(): SlotAvailability {
     const { replica } = this.options;
-    if (this.orders.isUnreachable) return { replica: replica.id, freeSlots: UNREACHABLE_SLOTS, queued: 0 };
+    if (this.orders.isUnreachable)
+      return { replica: replica.id, freeSlots: UNREACHABLE_FREE_SLOTS, queued: 0 };
     const queued = this.queue.size;
-    return { replica: replica.id, freeSlots: Math.max(0, this.free - queued), queued };
+    return { replica: replica.id, freeSlots: Math.max(0, this.freeSlots - queued), queued };
   }
 
-  /** One line on what the slots hold. */
-  describe(): string {
+  /**
+   * Returns a one-line summary for the debug log: the initial of each slot's state and its running requests.
+   */
+  describeSlots(): string {
     const states = [...this.slots.all()].map(({ state, running }) => `${state[0]}${running}`).join(' ');
     return `${this.options.replica.id}: ${this.slots.occupied} slots (${states}), ${this.queue.size} wait`;
   }
 
-  private tell(): void {
+  private publishResidency(): void {
     const residency = this.residency();
-    if (residency !== undefined) this.options.onHoldings(residency);
+    if (residency !== undefined) this.options.onResidencyChange(residency);
   }
 }
--- a/packages/routing/src/core/adapters/index.ts
+++ b/packages/routing/src/core/adapters/index.ts
@@ -1,8 +1,8 @@
-/** Adapters on engines: who holds what, loads and victims. */
+/** Adapters on engines: tracks which are resident where, loads and evicts them. */
 export { ResidencyTable } from './residency.js';
 export type { EngineOwnerOptions } from './engine-owner.js';
 export { EngineOwner } from './engine-owner.js';
-export type { EnsureWanted, LoaderOptions } from './adapter-loader.js';
+export type { EnsureWanted, AdapterLoaderOptions } from './adapter-loader.js';
 export { Loader } from './adapter-loader.js';
 export { SlotState, SlotTable } from './slots.js';
 export type {
--- a/packages/routing/src/core/adapters/load-times.ts
+++ b/packages/routing/src/core/adapters/load-times.ts
@@ -1,49 +1,49 @@
-/** How long loads of adapters take on one engine: the first one comes from the store, a repeated one from the engine's host. */
+/**
+ * Estimates how long adapter loads take on one engine. A cold load fetches the adapter from the store; a warm
+ * load finds a copy on the engine's host.
+ */
 
-/** First guesses, in milliseconds; replaced by what is measured. */
-const FIRST_LOAD_GUESS_MS = 250;
-const REPEATED_LOAD_GUESS_MS = 25;
-/** Weight of a new measurement. */
-const GUESS_WEIGHT = 0.3;
-/** Adapters remembered as loaded before. */
-const MAX_REMEMBERED = 400;
+/** Initial estimates, in milliseconds; replaced by measurements. */
+const COLD_LOAD_ESTIMATE_MS = 250;
+const WARM_LOAD_ESTIMATE_MS = 25;
+/** Weight of a new measurement in the moving average. */
+const SMOOTHING_FACTOR = 0.3;
+/** Adapters that are remembered as loaded before. */
+const MAX_REMEMBERED_ADAPTERS = 400;
 
-/** The times of one engine. */
+/** Load time estimates of one engine. */
 export class LoadTimes {
   private readonly loadedBefore = new Set<string>();
 
-  private guesses = { first: FIRST_LOAD_GUESS_MS, repeated: REPEATED_LOAD_GUESS_MS };
+  private estimates = { cold: COLD_LOAD_ESTIMATE_MS, warm: WARM_LOAD_ESTIMATE_MS };
 
   /**
-   * Tells whether an adapter was loaded before.
+   * Returns whether the next load of an adapter is a warm one.
    * @param key - `model/adapter`.
-   * @returns Whether its next load is a repeated one.
    */
-  wasLoaded(key: string): boolean {
+  wasLoadedBefore(key: string): boolean {
     return this.loadedBefore.has(key);
   }
 
   /**
-   * Guesses how long a load takes.
+   * Returns the expected time of the next load of an adapter, in milliseconds.
    * @param key - `model/adapter`.
-   * @returns Milliseconds.
    */
   expectedMs(key: string): number {
-    return this.wasLoaded(key) ? this.guesses.repeated : this.guesses.first;
+    return this.wasLoadedBefore(key) ? this.estimates.warm : this.estimates.cold;
   }
 
   /**
-   * Learns from a load that is done.
+   * Updates the estimate with the duration of a finished load.
    * @param key - `model/adapter`.
-   * @param ms - How long it took, in milliseconds.
    */
-  learn(key: string, ms: number): void {
-    const kind = this.wasLoaded(key) ? 'repeated' : 'first';
-    const known = this.guesses[kind];
-    this.guesses = { ...this.guesses, [kind]: known + GUESS_WEIGHT * (ms - known) };
+  record(key: string, tookMs: number): void {
+    const kind = this.wasLoadedBefore(key) ? 'warm' : 'cold';
+    const estimateMs = this.estimates[kind];
+    this.estimates = { ...this.estimates, [kind]: estimateMs + SMOOTHING_FACTOR * (tookMs - estimateMs) };
     this.loadedBefore.delete(key);
     this.loadedBefore.add(key);
-    if (this.loadedBefore.size <= MAX_REMEMBERED) return;
+    if (this.loadedBefore.size <= MAX_REMEMBERED_ADAPTERS) return;
     const [oldest] = this.loadedBefore;
     this.loadedBefore.delete(oldest!);
   }
--- a/packages/routing/src/core/adapters/orders.ts
+++ b/packages/routing/src/core/adapters/orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders to one engine: under this daemon's token, on a connection of their own, with a log line for each that fails, and
- * what a failure tells.
+ * Sends orders to one engine over a dedicated connection and under this daemon's fencing token. Logs every
+ * failed order and draws the conclusions from it: token refused, engine unreachable, restarted or empty.
  */
 import type { DecisionLog, Facts, TimerService } from '@celeryyoke/core';
 
@@ -15,15 +15,18 @@
 } from './types.js';
 import { adapterKey, OrderOutcome } from './types.js';
 
-/** Time without an answer to an order after which the engine counts as unreachable, in milliseconds; it answers in some. */
-const SILENCE_MS = 400;
-/** Time for which an engine that could not be reached is left alone, in milliseconds. */
-const REST_MS = 400;
+/**
+ * Time without a response to an order after which the engine counts as unreachable, in milliseconds. Engines
+ * normally respond within a few milliseconds.
+ */
+const UNRESPONSIVE_AFTER_MS = 400;
+/** Time for which an unreachable engine is avoided, in milliseconds. */
+const UNREACHABLE_BACKOFF_MS = 400;
 
-/** Outcomes that are no answer of the engine. */
-const UNANSWERED: ReadonlySet<OrderOutcome> = new Set([OrderOutcome.Unknown, OrderOutcome.Unreachable]);
+/** Outcomes that are not a response of the engine. */
+const WITHOUT_RESPONSE: ReadonlySet<OrderOutcome> = new Set([OrderOutcome.Unknown, OrderOutcome.Unreachable]);
 
-/** Options of the orders to an engine. */
+/** Options of {@link EngineOrders}. */
 export interface EngineOrdersOptions {
   readonly replica: ReplicaEntry;
   /** Address of this daemon. */
@@ -31,62 +34,60 @@
   readonly control: EngineControl;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  /** Asked before each order; undefined when this daemon may give none. */
-  readonly authority: () => number | undefined;
-  /** Called when the engine refused a token. */
+  /** Returns the current token, before each order; undefined when this daemon must not send any. */
+  readonly fencingToken: () => number | undefined;
+  /** Called when the engine has refused a token. */
   readonly onFenced: (token: number) => void;
-  /** Called when the engine says that it started later than this daemon knew. */
-  readonly onStart: (bornAt: number) => void;
-  /** Called when the engine can't be reached. */
+  /** Called when the engine reports a later start than the one known to this daemon. */
+  readonly onRestart: (bornAt: number) => void;
+  /** Called when the engine is unreachable. */
   readonly onUnreachable: () => void;
-  /** Called when the connection has ended: what its answers told can't be built on any more. */
+  /** Called when the connection has ended, so that earlier responses can no longer be relied on. */
   readonly onDisconnect: () => void;
-  /** Called when the engine refused an order and holds no model. */
+  /** Called when the engine has refused an order and holds no base model. */
   readonly onEmpty: () => void;
 }
 
-/** What an order is about; without an adapter it is the base model. */
-export type OrderedRef = Omit<AdapterRef, 'adapter'> & { readonly adapter: string | undefined };
+/** Subject of an order: an adapter, or the base model itself when no adapter is given. */
+export type OrderTarget = Omit<AdapterRef, 'adapter'> & { readonly adapter: string | undefined };
 
-/** The orders to one engine. */
+/** Client for orders to one engine. */
 export class EngineOrders {
   /** Monotonic time until which the engine counts as unreachable. */
   private unreachableUntil = Number.NEGATIVE_INFINITY;
 
-  private isLookingAgain = false;
+  private isCheckingForRestart = false;
 
-  /** Latest start that was told, as Unix milliseconds. */
-  private toldStart = 0;
+  /** Latest restart passed to `onRestart`, as Unix milliseconds. */
+  private latestReportedStart = 0;
 
   private connection: EngineConnection | undefined;
 
-  /** Whether the connection has brought an answer, so that the engine was reached. */
-  private hasAnswered = false;
+  /** Whether a response has arrived on the current connection, so that the engine was reachable. */
+  private hasResponded = false;
 
-  /**
-   * Makes one that has sent nothing.
-   * @param options - The engine and how to talk to it.
-   */
   constructor(private readonly options: EngineOrdersOptions) {}
 
-  /** Whether the engine could not be reached a moment ago: what waits for it is better served elsewhere. */
+  /**
+   * Whether the engine was unreachable a moment ago, so that waiting requests are better served elsewhere.
+   */
   get isUnreachable(): boolean {
     return this.options.timers.now() < this.unreachableUntil;
   }
 
-  /** Whether the connection on which the last report came is still there. */
+  /** Whether the connection of the last report is still open. */
   get isConnected(): boolean {
     return this.connection?.isOpen ?? false;
   }
 
   /**
-   * Opens a connection where there is none.
-   * @returns The connection; no order is given on it before a report, but for loads of a base model.
+   * Returns the open connection, or opens one. Only base model loads may be ordered on it before its first
+   * report.
    */
   connect(): EngineConnection {
     const { control, replica, onDisconnect } = this.options;
     if (this.connection?.isOpen) return this.connection;
-    this.hasAnswered = false;
+    this.hasResponded = false;
     const connection = control.connect(replica, () => {
       if (this.connection === connection) onDisconnect();
     });
@@ -94,7 +95,7 @@
     return connection;
   }
 
-  /** Ends the connection. */
+  /** Closes the connection. */
   disconnect(): void {
     const { connection } = this;
     this.connection = undefined;
@@ -102,77 +103,76 @@
   }
 
   /**
-   * Asks for a report, on a new connection where there is none.
-   * @returns The report.
-   * @throws Error when there is none.
+   * Requests a report, opening a connection if there is none.
+   * @throws Error when there is no report.
    */
   async report(): Promise<EngineReport> {
     const connection = this.connect();
     try {
       const report = await connection.report();
-      this.hasAnswered = true;
+      this.hasResponded = true;
       return report;
     } catch (err) {
-      if (!this.hasAnswered && connection === this.connection) this.rest();
+      if (!this.hasResponded && connection === this.connection) this.markUnreachable();
       throw err;
     }
   }
 
   /**
-   * Shows that the answers so far were those to their orders, by a report that comes where one is due.
-   * @returns The report; undefined when nothing is shown: the connection has ended, and with it what its answers told.
+   * Confirms that the responses so far belonged to their orders, by a report that arrives where one is due.
+   * @returns The report; undefined when the responses could not be confirmed. If the connection has ended,
+   *   they can no longer be relied on.
    */
-  async confirm(): Promise<EngineReport | undefined> {
+  async confirmResponses(): Promise<EngineReport | undefined> {
     const { connection } = this;
     if (!connection?.isOpen) return undefined;
     try {
       const report = await connection.report();
-      return connection === this.connection && !this.hasStartedAgain(report) ? report : undefined;
+      return connection === this.connection && !this.detectRestart(report) ? report : undefined;
     } catch (err) {
       const { log, replica } = this.options;
-      log.warn(`The answers of engine ${replica.id} to orders can't be relied on: ${String(err)}.`);
+      log.warn(`Responses of engine ${replica.id} to orders could not be confirmed: ${String(err)}.`);
       return undefined;
     }
   }
 
   /**
-   * Sends an order on the connection that there is.
-   * @param kind - What to do.
-   * @param ref - With what.
-   * @param expected - Orders that must have begun something on the engine before; undefined when any will do.
-   * @returns What became of it; unknown when this daemon may give none, unreachable when there is no connection.
+   * Sends an order on the open connection.
+   * @param expected - Sequence number that the engine must have reached; undefined skips the check.
+   * @returns The outcome; unknown when this daemon must not send orders, unreachable when there is no open
+   *   connection.
    */
-  async send(kind: OrderKind, ref: OrderedRef, expected?: number): Promise<OrderOutcome> {
-    const { authority, self, timers } = this.options;
+  async send(kind: OrderKind, target: OrderTarget, expected?: number): Promise<OrderOutcome> {
+    const { fencingToken, self, timers } = this.options;
     const { connection } = this;
-    const token = authority();
+    const token = fencingToken();
     if (token === undefined) return OrderOutcome.Unknown;
     if (!connection?.isOpen) return OrderOutcome.Unreachable;
-    const { model, adapter, version } = ref;
+    const { model, adapter, version } = target;
     const order: EngineOrder = { kind, model, adapter, version, holder: self, token, expected };
     const startedAt = timers.now();
     const outcome = await connection.order(order);
     const tookMs = timers.now() - startedAt;
-    if (!UNANSWERED.has(outcome)) this.hasAnswered = true;
+    if (!WITHOUT_RESPONSE.has(outcome)) this.hasResponded = true;
     if (outcome === OrderOutcome.Done || outcome === OrderOutcome.Started)
-      this.noteAnswer(order, outcome, tookMs);
-    else this.noteFailure(order, outcome, tookMs);
+      this.logSuccess(order, outcome, tookMs);
+    else this.handleFailure(order, outcome, tookMs);
     return outcome;
   }
 
   /**
-   * Tells whether a report is one of a later start; if so, that is told, and this engine is gone.
-   * @param report - The report.
+   * Returns whether a report comes from a later incarnation of the engine; if so, this incarnation is gone
+   * and the restart is passed on.
    */
-  hasStartedAgain({ bornAt }: EngineReport): boolean {
-    const { replica, onStart } = this.options;
+  detectRestart({ bornAt }: EngineReport): boolean {
+    const { replica, onRestart } = this.options;
     if (bornAt === undefined || replica.bornAt === undefined || bornAt <= replica.bornAt) return false;
-    if (bornAt > this.toldStart) onStart(bornAt);
-    this.toldStart = Math.max(this.toldStart, bornAt);
+    if (bornAt > this.latestReportedStart) onRestart(bornAt);
+    this.latestReportedStart = Math.max(this.latestReportedStart, bornAt);
     return true;
   }
 
-  private noteAnswer(order: EngineOrder, outcome: OrderOutcome, tookMs: number): void {
+  private logSuccess(order: EngineOrder, outcome: OrderOutcome, tookMs: number): void {
     const { replica, log } = this.options;
     if (!log.hasDetails) return;
     log.detail(
@@ -182,7 +182,7 @@
     );
   }
 
-  private noteFailure(order: EngineOrder, outcome: OrderOutcome, tookMs: number): void {
+  private handleFailure(order: EngineOrder, outcome: OrderOutcome, tookMs: number): void {
     const { replica, log, onFenced } = this.options;
     const { token } = order;
     log.decide(
@@ -191,10 +191,10 @@
       this.facts(order, outcome, tookMs),
     );
     if (outcome === OrderOutcome.Fenced) onFenced(token);
-    if (outcome === OrderOutcome.Misdirected || outcome === OrderOutcome.Refused) void this.lookAgain();
-    const isSilent = outcome === OrderOutcome.Unknown && tookMs > SILENCE_MS;
-    const wasNeverReached = outcome === OrderOutcome.Unreachable && !this.hasAnswered;
-    if (wasNeverReached || isSilent) this.rest();
+    if (outcome === OrderOutcome.Misdirected || outcome === OrderOutcome.Refused) void this.checkForRestart();
+    const isUnresponsive = outcome === OrderOutcome.Unknown && tookMs > UNRESPONSIVE_AFTER_MS;
+    const hasNeverResponded = outcome === OrderOutcome.Unreachable && !this.hasResponded;
+    if (hasNeverResponded || isUnresponsive) this.markUnreachable();
   }
 
   private facts(order: EngineOrder, outcome: OrderOutcome, tookMs: number): Facts {
@@ -211,24 +211,27 @@
     };
   }
 
-  private rest(): void {
+  private markUnreachable(): void {
     const { timers, onUnreachable } = this.options;
-    this.unreachableUntil = timers.now() + REST_MS;
+    this.unreachableUntil = timers.now() + UNREACHABLE_BACKOFF_MS;
     onUnreachable();
   }
 
-  /** An engine that refuses an order as it lacks what is believed of it may have started again; its report tells. */
-  private async lookAgain(): Promise<void> {
+  /**
+   * Checks the report of an engine that refused an order for lack of something it should hold: it may have
+   * restarted.
+   */
+  private async checkForRestart(): Promise<void> {
     const { control, replica, log, onEmpty } = this.options;
-    if (this.isLookingAgain) return;
-    this.isLookingAgain = true;
+    if (this.isCheckingForRestart) return;
+    this.isCheckingForRestart = true;
     try {
       const report = await control.report(replica);
-      if (!this.hasStartedAgain(report) && report.models.length === 0) onEmpty();
+      if (!this.detectRestart(report) && report.models.length === 0) onEmpty();
     } catch (err) {
-      log.debug(`Engine ${replica.id} gives no report: ${String(err)}.`);
+      log.debug(`Engine ${replica.id} did not return a report: ${String(err)}.`);
     } finally {
-      this.isLookingAgain = false;
+      this.isCheckingForRestart = false;
     }
   }
 }
--- a/packages/routing/src/core/adapters/queue.ts
+++ b/packages/routing/src/core/adapters/queue.ts
@@ -1,227 +1,213 @@
-/** The loads that wait for a slot of one engine, and which of them comes next. */
+/** Queue of the adapter loads that wait for a slot on one engine, with the rule for which load comes next. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { AdapterRef, Urgency } from './types.js';
 import { AdapterUnavailable, adapterKey } from './types.js';
 
-/** Longest time in which a slot is made free that could be freed when it was asked for, in milliseconds. */
-const ROOM_MS = 60;
+/**
+ * Shortest wait for a load to start, in milliseconds: the time it can take to free a slot that is evictable
+ * when the request arrives.
+ */
+const MIN_QUEUE_WAIT_MS = 60;
 
-/** Classes of waiting loads, in the order in which they are served. */
-enum Turn {
-  /** It begins now, or its request is not served at all. */
+/** Priority classes of waiting loads, highest first. */
+enum LoadPriority {
+  /** Must start now, or its request will not be served at all. */
   LastCall,
-  /** Its answer can still be on time. */
+  /** The response can still be on time. */
   OnTime,
-  /** Its answer will be late, and as good a second later. */
+  /** The response will be late, and no worse a second later. */
   Late,
 }
 
 /** A load that requests wait for. */
-export interface Wanted extends AdapterRef {
+export interface PendingLoad extends AdapterRef {
   readonly key: string;
-  /** Monotonic time since which a request waits for it, here or elsewhere. */
-  askedAt: number;
-  /** The most urgent rank of the requests that wait for it. */
+  /** Monotonic time since which a request waits for the adapter, on any engine. */
+  requestedAt: number;
+  /** Rank of the most urgent request waiting for the load. */
   rank: number;
-  /** Monotonic time by which it must begin for the next answer that can still be on time. */
+  /** Monotonic time by which the load must start for the next response that can still be on time. */
   dueAt: number;
-  /** Monotonic time by which it must begin for the first of its requests to be served at all. */
+  /** Monotonic time by which the load must start for the first of its requests to be served at all. */
   lastCallAt: number;
-  /** Monotonic time at which the last request that waits for it gives up. */
-  until: number;
-  /** Whether its turn did not come while a request waited for it. */
-  isLate: boolean;
-  /** Settles when it has begun, or never will. */
-  readonly begun: Promise<void>;
-  readonly begin: () => void;
-  /** Settles when the adapter is in place, or can't be had. */
-  readonly promise: Promise<void>;
+  /** Monotonic time at which the last waiting request gives up. */
+  expiresAt: number;
+  /** Whether the load did not start while a request waited for it. */
+  hasExpired: boolean;
+  /** Settles when the load has started, or never will. */
+  readonly started: Promise<void>;
+  readonly markStarted: () => void;
+  /** Settles when the adapter is resident, or can't be loaded. */
+  readonly loaded: Promise<void>;
   readonly resolve: () => void;
   readonly reject: (err: Error) => void;
 }
 
-/** The queue of one engine. */
+/** Load queue of one engine. */
 export class LoadQueue {
-  private readonly waiting: Wanted[] = [];
+  private readonly waiting: PendingLoad[] = [];
 
-  /** Loads that wait or are in progress, so that requests for one adapter wait together. */
-  private readonly pending = new Map<string, Wanted>();
+  /** Loads that wait or are in progress, so that requests for the same adapter share one load. */
+  private readonly loadsByKey = new Map<string, PendingLoad>();
 
-  /**
-   * Makes an empty queue.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
-  /** Loads that have not begun. */
+  /** Number of loads that have not started. */
   get size(): number {
     return this.waiting.length;
   }
 
   /**
-   * Finds a load that waits or is in progress.
+   * Returns a load that waits or is in progress.
    * @param key - `model/adapter`.
-   * @returns The load, or undefined.
    */
-  find(key: string): Wanted | undefined {
-    return this.pending.get(key);
+  find(key: string): PendingLoad | undefined {
+    return this.loadsByKey.get(key);
   }
 
-  /**
-   * Adds a load.
-   * @param ref - The adapter.
-   * @returns The load.
-   */
-  add(ref: AdapterRef): Wanted {
-    const wanted = makeWanted(ref, this.timers.now());
-    const { key } = wanted;
-    this.pending.set(key, wanted);
-    this.waiting.push(wanted);
-    const forget = (): void => {
-      this.pending.delete(key);
-      wanted.begin();
+  /** Adds a load for an adapter. */
+  add(ref: AdapterRef): PendingLoad {
+    const load = createPendingLoad(ref, this.timers.now());
+    const { key } = load;
+    this.loadsByKey.set(key, load);
+    this.waiting.push(load);
+    const removeLoad = (): void => {
+      this.loadsByKey.delete(key);
+      load.markStarted();
     };
-    wanted.promise.then(forget, forget);
-    return wanted;
+    load.loaded.then(removeLoad, removeLoad);
+    return load;
   }
 
-  /**
-   * Counts one more request that waits for a load.
-   * @param wanted - The load.
-   * @param urgency - How urgent the request is.
-   */
-  hasten(wanted: Wanted, { rank, waitedMs, dueInMs, lastCallMs, patienceMs }: Urgency): void {
+  /** Adds a request to a load, which becomes at least as urgent as the request. */
+  addRequest(load: PendingLoad, { rank, waitedMs, dueInMs, lastCallMs, patienceMs }: Urgency): void {
     const now = this.timers.now();
     const dueAt = now + dueInMs;
-    // A request that is too late already does not make the others late.
-    const isLate = wanted.dueAt < now;
-    Object.assign(wanted, {
-      dueAt: isLate ? Math.max(wanted.dueAt, dueAt) : Math.min(wanted.dueAt, dueAt),
-      rank: Math.min(wanted.rank, rank),
-      askedAt: Math.min(wanted.askedAt, now - waitedMs),
-      lastCallAt: Math.min(wanted.lastCallAt, now + lastCallMs),
-      until: Math.max(wanted.until, now + Math.max(patienceMs, ROOM_MS)),
-    } satisfies Partial<Wanted>);
+    // A request that is already too late does not make the others late.
+    const isLate = load.dueAt < now;
+    Object.assign(load, {
+      dueAt: isLate ? Math.max(load.dueAt, dueAt) : Math.min(load.dueAt, dueAt),
+      rank: Math.min(load.rank, rank),
+      requestedAt: Math.min(load.requestedAt, now - waitedMs),
+      lastCallAt: Math.min(load.lastCallAt, now + lastCallMs),
+      expiresAt: Math.max(load.expiresAt, now + Math.max(patienceMs, MIN_QUEUE_WAIT_MS)),
+    } satisfies Partial<PendingLoad>);
   }
 
   /**
-   * Waits until a load has begun or ended, or nobody waits for it any longer.
-   * @param wanted - The load.
-   * @returns Whether it has begun.
+   * Waits until a load has started or ended, or no request waits for it any longer.
+   * @returns Whether the load has started.
    */
-  async turnOf(wanted: Wanted): Promise<boolean> {
-    while (this.isWaiting(wanted) && this.timers.now() < wanted.until) {
-      const isOver = new AbortController();
-      const over = this.timers.sleep(wanted.until - this.timers.now(), isOver.signal).catch(() => undefined);
-      await Promise.race([wanted.begun, over]);
-      isOver.abort();
+  async waitForStart(load: PendingLoad): Promise<boolean> {
+    while (this.isWaiting(load) && this.timers.now() < load.expiresAt) {
+      const timerAbort = new AbortController();
+      const expired = this.timers
+        .sleep(load.expiresAt - this.timers.now(), timerAbort.signal)
+        .catch(() => undefined);
+      await Promise.race([load.started, expired]);
+      timerAbort.abort();
     }
-    return !wanted.isLate && !this.isWaiting(wanted);
+    return !load.hasExpired && !this.isWaiting(load);
   }
 
   /**
-   * Finds the load that comes next; those that nobody waits for any more are dropped.
-   * @param isBlocked - Whether a load can't begin now.
-   * @returns The load, which stays in the queue, or undefined.
+   * Returns the load to start next, leaving it in the queue, and rejects loads that no request waits for any
+   * longer.
+   * @param isBlocked - Whether the load of an adapter can't start now.
    */
-  next(isBlocked: (key: string) => boolean): Wanted | undefined {
+  next(isBlocked: (key: string) => boolean): PendingLoad | undefined {
     const now = this.timers.now();
-    this.dropLate(now);
-    let first: Wanted | undefined;
-    for (const wanted of this.waiting) {
-      if (isBlocked(wanted.key)) continue;
-      if (first === undefined || isBefore(wanted, first, now)) first = wanted;
+    this.rejectExpired(now);
+    let first: PendingLoad | undefined;
+    for (const load of this.waiting) {
+      if (isBlocked(load.key)) continue;
+      if (first === undefined || precedes(load, first, now)) first = load;
     }
     return first;
   }
 
-  /**
-   * Notes that a load begins.
-   * @param wanted - The load.
-   */
-  begin(wanted: Wanted): void {
-    this.waiting.splice(this.waiting.indexOf(wanted), 1);
-    wanted.begin();
+  /** Removes a load from the queue as it starts. */
+  start(load: PendingLoad): void {
+    this.waiting.splice(this.waiting.indexOf(load), 1);
+    load.markStarted();
   }
 
   /**
-   * Ends the wait for an adapter that has come into place by another load.
+   * Completes a waiting load whose adapter has become resident through another load.
    * @param key - `model/adapter`.
-   * @param version - The version in place.
+   * @param version - The resident version.
    */
-  fulfil(key: string, version: number): void {
-    const wanted = this.pending.get(key);
-    if (wanted === undefined || !this.isWaiting(wanted) || (wanted.version ?? 0) > version) return;
-    this.begin(wanted);
-    wanted.resolve();
+  complete(key: string, version: number): void {
+    const load = this.loadsByKey.get(key);
+    if (load === undefined || !this.isWaiting(load) || (load.version ?? 0) > version) return;
+    this.start(load);
+    load.resolve();
   }
 
-  /**
-   * Gives up all loads that have not begun.
-   * @param reason - Why.
-   */
-  giveUp(reason: string): void {
-    for (const wanted of this.waiting.splice(0)) wanted.reject(new AdapterUnavailable(reason));
+  /** Rejects all loads that have not started. */
+  rejectAll(reason: string): void {
+    for (const load of this.waiting.splice(0)) load.reject(new AdapterUnavailable(reason));
   }
 
-  private isWaiting(wanted: Wanted): boolean {
-    return this.waiting.includes(wanted);
+  private isWaiting(load: PendingLoad): boolean {
+    return this.waiting.includes(load);
   }
 
-  private dropLate(now: number): void {
+  private rejectExpired(now: number): void {
     for (let index = this.waiting.length - 1; index >= 0; index -= 1) {
-      if (this.waiting[index]!.until > now) continue;
-      const [late] = this.waiting.splice(index, 1);
-      late!.isLate = true;
-      late!.reject(new AdapterUnavailable('Its turn did not come in time.'));
+      if (this.waiting[index]!.expiresAt > now) continue;
+      const [expired] = this.waiting.splice(index, 1);
+      expired!.hasExpired = true;
+      expired!.reject(new AdapterUnavailable('The load could not start in time.'));
     }
   }
 }
 
-function makeWanted(ref: AdapterRef, now: number): Wanted {
+function createPendingLoad(ref: AdapterRef, now: number): PendingLoad {
   let resolve!: () => void;
   let reject!: (err: Error) => void;
-  let begin!: () => void;
-  const promise = new Promise<void>((onDone, onFailure) => {
+  let markStarted!: () => void;
+  const loaded = new Promise<void>((onDone, onFailure) => {
     resolve = onDone;
     reject = onFailure;
   });
-  const begun = new Promise<void>((onBegun) => {
-    begin = onBegun;
+  const started = new Promise<void>((onStarted) => {
+    markStarted = onStarted;
   });
   return {
     ...ref,
     key: adapterKey(ref.model, ref.adapter),
-    askedAt: now,
+    requestedAt: now,
     rank: Number.MAX_SAFE_INTEGER,
     dueAt: Number.NEGATIVE_INFINITY,
     lastCallAt: Number.POSITIVE_INFINITY,
-    until: 0,
-    isLate: false,
-    begun,
-    begin,
-    promise,
+    expiresAt: 0,
+    hasExpired: false,
+    started,
+    markStarted,
+    loaded,
     resolve,
     reject,
   };
 }
 
 /**
- * Whether a load comes before another one.
+ * Returns whether a load comes before another one.
  *
- * An answer that is late earns the same a second later, so what can still be on time goes first, by rank and then by
- * what is due first. What is late comes after that, oldest first, unless it would soon not be served at all.
+ * A late response is worth the same a second later. Loads whose response can still be on time therefore come
+ * first, by rank and then by due time; late ones follow, oldest first, unless they are about to miss their
+ * last chance to be served.
  */
-function isBefore(one: Wanted, other: Wanted, now: number): boolean {
-  const turn = turnAt(one, now);
-  const otherTurn = turnAt(other, now);
-  if (turn !== otherTurn) return turn < otherTurn;
-  if (turn !== Turn.OnTime) return one.askedAt < other.askedAt;
+function precedes(one: PendingLoad, other: PendingLoad, now: number): boolean {
+  const priority = priorityAt(one, now);
+  const otherPriority = priorityAt(other, now);
+  if (priority !== otherPriority) return priority < otherPriority;
+  if (priority !== LoadPriority.OnTime) return one.requestedAt < other.requestedAt;
   return one.rank === other.rank ? one.dueAt < other.dueAt : one.rank < other.rank;
 }
 
-function turnAt({ dueAt, lastCallAt }: Wanted, now: number): Turn {
-  if (lastCallAt < now) return Turn.LastCall;
-  return dueAt >= now ? Turn.OnTime : Turn.Late;
+function priorityAt({ dueAt, lastCallAt }: PendingLoad, now: number): LoadPriority {
+  if (lastCallAt < now) return LoadPriority.LastCall;
+  return dueAt >= now ? LoadPriority.OnTime : LoadPriority.Late;
 }
--- a/packages/routing/src/core/adapters/reconcile-slots.ts
+++ b/packages/routing/src/core/adapters/reconcile-slots.ts
@@ -1,78 +1,86 @@
-/** Makes the table of an engine's slots anew from a report that was proved to be exact. */
+/** Updates the slot table of an engine from its reports. */
 import type { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
 import { SlotState } from './slots.js';
 import type { EngineReport } from './types.js';
 import { adapterKey } from './types.js';
 
-/** Adapters by `model/adapter`, and their versions. */
+/** Adapter versions by `model/adapter`. */
 type Versions = ReadonlyMap<string, number>;
 
 /**
- * Takes over what a report lists. Nothing of what was known before stays but the loads that requests wait for, and that the
- * engine has not accepted: they keep a slot.
- * @param session - The engine's slots.
- * @param report - The report; no order is under way that it does not cover.
- * @param follow - Follows a load that no task follows yet.
+ * Rebuilds the slot table from a report that was verified to be current. Discards all earlier state except
+ * loads that requests wait for and the engine has not accepted; those keep their slot.
+ * @param report - The report; it covers every order sent so far.
+ * @param follow - Starts a task for a load that no task follows yet.
  */
-export function adoptReport(
+export function reconcileSlots(
   session: EngineSession,
   report: EngineReport,
   follow: (slot: Slot) => void,
 ): void {
-  const { slots } = session.parts;
-  const held = heldVersions(report);
-  const coming = comingVersions(report);
-  session.note(report);
+  const { slots } = session.context;
+  const resident = residentVersions(report);
+  const loading = loadingVersions(report);
+  session.recordReport(report);
   for (const slot of [...slots.all()]) {
     const { key } = slot;
-    if (coming.has(key) || isInPlace(slot, held)) continue;
-    if (slot.watcher === undefined) session.free(key, 'not reported');
-    else Object.assign(slot, { state: SlotState.Reserved, beneath: held.get(key) } satisfies Partial<Slot>);
+    if (loading.has(key) || isResident(slot, resident)) continue;
+    if (slot.loadTask === undefined) session.releaseSlot(key, 'not reported');
+    else
+      Object.assign(slot, {
+        state: SlotState.Reserved,
+        replacedVersion: resident.get(key),
+      } satisfies Partial<Slot>);
   }
-  for (const [key, version] of held) {
+  for (const [key, version] of resident) {
     const slot = slots.get(key);
-    if (slot === undefined) slots.put(key, version, SlotState.Held);
-    else if (isInPlace(slot, held))
-      Object.assign(slot, { version, state: SlotState.Held, beneath: undefined } satisfies Partial<Slot>);
-    // The report is some hundred milliseconds old.
-    slots.get(key)!.isSeen = false;
+    if (slot === undefined) slots.put(key, version, SlotState.Resident);
+    else if (isResident(slot, resident))
+      Object.assign(slot, {
+        version,
+        state: SlotState.Resident,
+        replacedVersion: undefined,
+      } satisfies Partial<Slot>);
+    // The report lags by some hundred milliseconds.
+    slots.get(key)!.isConfirmedResident = false;
   }
-  for (const [key, version] of coming) {
+  for (const [key, version] of loading) {
     const slot = slots.put(key, version, SlotState.Loading);
-    slot.beneath = held.get(key);
-    if (slot.watcher === undefined) follow(slot);
+    slot.replacedVersion = resident.get(key);
+    if (slot.loadTask === undefined) follow(slot);
   }
 }
 
 /**
- * Notes which adapters are known to be in place, where a report shows an order of this owner: then it is later than the
- * proof, and no unload of a former owner can still have waited.
- * @param session - The engine's slots.
- * @param report - The report.
+ * Marks the resident adapters as confirmed when a report covers an order of this owner. Such a report is
+ * later than the verification, so no unload of a former owner can still have been pending.
  */
-export function noteSeen(session: EngineSession, report: EngineReport): void {
-  if (report.sequence <= session.provedSequence) return;
-  for (const [key] of heldVersions(report)) {
-    const slot = session.parts.slots.get(key);
-    if (slot?.state === SlotState.Held) slot.isSeen = true;
+export function markConfirmed(session: EngineSession, report: EngineReport): void {
+  if (report.sequence <= session.verifiedSequence) return;
+  for (const [key] of residentVersions(report)) {
+    const slot = session.context.slots.get(key);
+    if (slot?.state === SlotState.Resident) slot.isConfirmedResident = true;
   }
 }
 
-/** Whether a report shows what is wanted of a slot; an older version is not enough for a load that requests wait for. */
-function isInPlace({ key, version, watcher }: Slot, held: Versions): boolean {
-  const inPlace = held.get(key);
-  if (inPlace === undefined) return false;
-  return watcher === undefined || inPlace >= version;
+/**
+ * Returns whether a report shows the adapter of a slot as resident. For a load that requests wait for, an
+ * older version is not sufficient.
+ */
+function isResident({ key, version, loadTask }: Slot, resident: Versions): boolean {
+  const residentVersion = resident.get(key);
+  if (residentVersion === undefined) return false;
+  return loadTask === undefined || residentVersion >= version;
 }
 
-function heldVersions({ models }: EngineReport): Versions {
+function residentVersions({ models }: EngineReport): Versions {
   const versions = new Map<string, number>();
   for (const { name, adapters } of models)
     for (const adapter of adapters) versions.set(adapterKey(name, adapter.name), adapter.version);
   return versions;
 }
 
-function comingVersions({ loading }: EngineReport): Versions {
+function loadingVersions({ loading }: EngineReport): Versions {
   return new Map(loading.map(({ model, adapter, version }) => [adapterKey(model, adapter), version]));
 }
--- a/packages/routing/src/core/adapters/residency.ts
+++ b/packages/routing/src/core/adapters/residency.ts
@@ -1,150 +1,130 @@
-/** What each engine holds, as far as this daemon knows: from the daemon that gives it orders, or from the registry. */
+/**
+ * Tracks which models and adapters are resident on each engine, as published by the engine's owner or,
+ * failing that, listed in the registry.
+ */
 import type { ReplicaRegistry, ReplicaEntry } from '../view/index.js';
 import type { Holdings, SlotAvailability } from './types.js';
 import { adapterKey } from './types.js';
 
-/** Adapters remembered for each slot of an engine: it keeps copies of about that many in its host's memory. */
-const REMEMBERED_PER_SLOT = 6;
-const LEAST_REMEMBERED = 48;
+/**
+ * Recently resident adapters remembered for each resident one: an engine's host keeps about that many copies
+ * in memory.
+ */
+const RECENT_PER_RESIDENT = 6;
+const MIN_RECENT = 48;
 
-/** Adapters resident on engines, and their free slots. */
+/** Table of the models and adapters resident on engines and of the engines' slot availability. */
 export class ResidencyTable {
-  private readonly told = new Map<string, Holdings>();
+  private readonly published = new Map<string, Holdings>();
 
   private readonly availability = new Map<string, SlotAvailability>();
 
-  /** Adapters that each engine held of late, the latest last; they load ten times as fast there and cost nothing. */
+  /**
+   * Adapters recently resident on each engine, latest last. Loading them there again is ten times as fast and
+   * free of cost.
+   */
   private readonly recent = new Map<string, Set<string>>();
 
   /**
-   * Makes an empty table.
-   * @param registry - The registry's view, used where no daemon tells more.
+   * @param registry - Used for engines whose owner has not published anything.
    */
   constructor(private readonly registry: ReplicaRegistry) {
     registry.onReplica((id, entry) => {
       if (entry !== undefined) return;
-      this.told.delete(id);
+      this.published.delete(id);
       this.availability.delete(id);
       this.recent.delete(id);
     });
   }
 
-  /**
-   * Takes what the daemon tells that gives the engine its orders.
-   * @param residency - Models and adapters in place.
-   */
+  /** Updates the table with what an engine's owner has published; an older token is ignored. */
   take(residency: Holdings): void {
-    const known = this.told.get(residency.replica);
-    if (known !== undefined && residency.token < known.token) return;
-    this.told.set(residency.replica, residency);
-    this.remember(residency.replica, Object.keys(residency.adapters));
+    const published = this.published.get(residency.replica);
+    if (published !== undefined && residency.token < published.token) return;
+    this.published.set(residency.replica, residency);
+    this.addRecent(residency.replica, Object.keys(residency.adapters));
   }
 
   /**
-   * Takes what a peer remembers of an engine, after this daemon's start.
-   * @param replica - The engine.
-   * @param keys - Adapters held of late, the latest last.
+   * Merges the recently resident adapters that a peer remembers, after this daemon's start.
+   * @param keys - `model/adapter`, latest last.
    */
   takeRecent(replica: string, keys: readonly string[]): void {
-    const own = this.recent.get(replica) ?? [];
-    this.recent.set(replica, new Set([...keys, ...own]));
+    const ownKeys = this.recent.get(replica) ?? [];
+    this.recent.set(replica, new Set([...keys, ...ownKeys]));
   }
 
   /**
-   * Lists what engines held of late, for a peer that has just started.
-   * @returns Engines and their adapters, the latest last.
+   * Returns the recently resident adapters of all engines, for a peer that has just started.
+   * @returns Engines with their adapters, latest last.
    */
   allRecent(): [replica: string, keys: string[]][] {
     return [...this.recent].map(([replica, keys]) => [replica, [...keys]]);
   }
 
   /**
-   * Tells whether an engine held an adapter of late.
-   * @param replica - The engine.
+   * Returns whether an adapter was recently resident on an engine, so that loading it there is fast.
    * @param key - `model/adapter`.
-   * @returns Whether a load there is a fast one.
    */
   wasHeld(replica: string, key: string): boolean {
     return this.recent.get(replica)?.has(key) ?? false;
   }
 
-  /**
-   * Takes what an owner tells of its engine's slots.
-   * @param slots - The engine and its slots.
-   */
-  updateSlots(slots: SlotAvailability): void {
-    this.availability.set(slots.replica, slots);
+  /** Updates the slot availability published by an engine's owner. */
+  updateSlots(availability: SlotAvailability): void {
+    this.availability.set(availability.replica, availability);
   }
 
-  /**
-   * Notes that a load is asked for, until the owner tells anew.
-   * @param replica - The engine.
-   */
-  takeSlot(replica: string): void {
-    const slots = this.slots(replica);
-    const { freeSlots, queued } = slots;
-    const after = freeSlots > 0 ? { freeSlots: freeSlots - 1 } : { queued: queued + 1 };
-    this.availability.set(replica, { ...slots, ...after });
+  /** Counts a requested load against an engine's slot availability, until its owner publishes a new one. */
+  reserveSlot(replica: string): void {
+    const availability = this.slots(replica);
+    const { freeSlots, queued } = availability;
+    const change = freeSlots > 0 ? { freeSlots: freeSlots - 1 } : { queued: queued + 1 };
+    this.availability.set(replica, { ...availability, ...change });
   }
 
-  /**
-   * Tells how an engine's slots stand.
-   * @param replica - The engine.
-   * @returns None free when nobody tells.
-   */
+  /** Returns the slot availability of an engine; no free slots when none has been published. */
   slots(replica: string): SlotAvailability {
     return this.availability.get(replica) ?? { replica, freeSlots: 0, queued: 0 };
   }
 
   /**
-   * Notes that an engine refused a request since it does not hold the adapter.
-   * @param replica - The engine.
+   * Removes an adapter after an engine rejected a request for lack of it.
    * @param key - `model/adapter`.
    */
   drop(replica: string, key: string): void {
-    const known = this.told.get(replica);
-    if (known === undefined || !(key in known.adapters)) return;
-    const { [key]: dropped, ...adapters } = known.adapters;
+    const published = this.published.get(replica);
+    if (published === undefined || !(key in published.adapters)) return;
+    const { [key]: dropped, ...adapters } = published.adapters;
     void dropped;
-    this.told.set(replica, { ...known, adapters });
+    this.published.set(replica, { ...published, adapters });
   }
 
-  /**
-   * Tells whether an engine holds a base model.
-   * @param replica - The engine.
-   * @param model - The model.
-   * @returns Whether it is in place.
-   */
+  /** Returns whether a base model is resident on an engine. */
   holdsModel(replica: ReplicaEntry, model: string): boolean {
-    const told = this.told.get(replica.id);
-    if (told?.models.includes(model)) return true;
+    const published = this.published.get(replica.id);
+    if (published?.models.includes(model)) return true;
     return replica.models?.some(({ name }) => name === model) ?? false;
   }
 
-  /**
-   * Tells which version of an adapter an engine holds.
-   * @param replica - The engine.
-   * @param model - Base model.
-   * @param adapter - Adapter.
-   * @returns The version, or undefined when it holds none.
-   */
+  /** Returns the resident version of an adapter on an engine, or undefined. */
   version(replica: ReplicaEntry, model: string, adapter: string): number | undefined {
-    const told = this.told.get(replica.id);
-    if (told !== undefined) return told.adapters[adapterKey(model, adapter)];
-    const held = this.registry.replica(replica.id)?.models?.find(({ name }) => name === model);
-    return held?.adapters.find(({ name }) => name === adapter)?.version;
+    const published = this.published.get(replica.id);
+    if (published !== undefined) return published.adapters[adapterKey(model, adapter)];
+    const registered = this.registry.replica(replica.id)?.models?.find(({ name }) => name === model);
+    return registered?.adapters.find(({ name }) => name === adapter)?.version;
   }
 
-  private remember(replica: string, keys: readonly string[]): void {
+  private addRecent(replica: string, keys: readonly string[]): void {
     const recent = this.recent.get(replica) ?? new Set<string>();
     this.recent.set(replica, recent);
     for (const key of keys) {
       recent.delete(key);
       recent.add(key);
     }
-    const most = Math.max(LEAST_REMEMBERED, keys.length * REMEMBERED_PER_SLOT);
+    const limit = Math.max(MIN_RECENT, keys.length * RECENT_PER_RESIDENT);
     for (const oldest of recent) {
-      if (recent.size <= most) break;
+      if (recent.size <= limit) break;
       recent.delete(oldest);
     }
   }
--- a/packages/routing/src/core/adapters/sequenced-orders.ts
+++ b/packages/routing/src/core/adapters/sequenced-orders.ts
@@ -1,251 +1,276 @@
 /**
- * Orders to one engine that it accepts only while this daemon knows all that it has accepted.
+ * Sends orders to one engine such that it accepts them only if this daemon knows every order it has accepted
+ * before.
  *
- * An engine counts the orders that began something, and refuses one that names another count. Each order here names the
- * count that follows from the answers so far. So an order that is late, that a former owner gave, or that rests on an
- * answer that was lost or belongs to another call is refused by the engine itself, and what it holds is found out anew.
+ * An engine counts the accepted orders that had an effect, and refuses an order that carries a different
+ * count. Each order sent here carries the count that follows from the responses so far. An order that is
+ * late, comes from a former owner, or is based on a response that was lost or belongs to another call is
+ * therefore refused by the engine itself, and its state is read again.
  *
- * What is known rests on one connection. Its end, and any answer that does not fit, make it void: then a report is proved
- * anew, on a new connection where the old one has ended.
+ * This knowledge is tied to one connection. When the connection ends or a response does not fit, the count is
+ * discarded and a new report is verified, on a new connection if the old one has ended.
  */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { ReplicaEntry } from '../view/index.js';
-import type { EngineOrders, OrderedRef } from './orders.js';
+import type { EngineOrders, OrderTarget } from './orders.js';
 import type { EngineReport } from './types.js';
 import { AdapterUnavailable, OrderKind, OrderOutcome } from './types.js';
 
-/** Pause between two tries to prove a report, in milliseconds: a quarter of the lag of a report. */
-const PROOF_PAUSE_MS = 50;
-/** Count of an engine that has accepted nothing but the load of its base model. */
-const ONLY_ITS_MODEL = 1;
+/** Delay between attempts to verify a report, in milliseconds: a quarter of the lag of reports. */
+const SYNCHRONIZE_RETRY_MS = 50;
+/** Sequence number of an engine that has accepted nothing but the load of its base model. */
+const MODEL_ONLY_SEQUENCE = 1;
 
-/** How the count goes on after an order that named the right one; undefined when it is not known any more. */
-const COUNT_AFTER: Readonly<Record<OrderOutcome, (count: number, kind: OrderKind) => number | undefined>> = {
-  [OrderOutcome.Started]: (count) => count + 1,
-  // A load that is done was so before and counts for nothing; an unload that is done was begun and done in one.
-  [OrderOutcome.Done]: (count, kind) => (kind === OrderKind.Unload ? count + 1 : count),
+/** Sequence number after an order that carried the right one; undefined when it is no longer known. */
+const SEQUENCE_AFTER: Readonly<
+  Record<OrderOutcome, (sequence: number, kind: OrderKind) => number | undefined>
+> = {
+  [OrderOutcome.Started]: (sequence) => sequence + 1,
+  // A load that is already done had no effect and is not counted. An unload that is done took effect at once.
+  [OrderOutcome.Done]: (sequence, kind) => (kind === OrderKind.Unload ? sequence + 1 : sequence),
   [OrderOutcome.Unknown]: () => undefined,
   [OrderOutcome.Busy]: () => undefined,
-  [OrderOutcome.Fenced]: (count) => count,
-  // Each of these says that something is other than is known here, or that the connection has ended.
+  [OrderOutcome.Fenced]: (sequence) => sequence,
+  // Either the engine's state differs from what is known here, or the connection has ended.
   [OrderOutcome.Misdirected]: () => undefined,
   [OrderOutcome.Refused]: () => undefined,
   [OrderOutcome.Unreachable]: () => undefined,
 };
 
-/** An engine that holds no model: what was known of it is void. */
+/** Thrown when the engine holds no base model, so that everything known about it is void. */
 export class EngineEmptyError extends Error {}
 
-/** Options of the numbered orders. */
-export interface NumberedOrdersOptions {
+/** Options of {@link SequencedOrders}. */
+export interface SequencedOrdersOptions {
   readonly replica: ReplicaEntry;
   readonly timers: TimerService;
   readonly orders: EngineOrders;
-  /** Whether the engine refuses orders with older tokens, so that no other owner can give any. */
+  /**
+   * Whether the engine rejects orders with older fencing tokens, so that it accepts orders of no other owner.
+   */
   readonly isFenced: boolean;
-  /** Called when the count is needed and not known, and {@link NumberedOrders.prove} must find it out; also more than once. */
-  readonly onDoubt: () => void;
+  /**
+   * Called when the sequence number is needed but unknown, so that {@link SequencedOrders.synchronize} must
+   * run. May be called repeatedly.
+   */
+  readonly onInvalidated: () => void;
 }
 
-/** The numbered orders to one engine. */
-export class NumberedOrders {
-  /** Orders that the engine has accepted; undefined while it is not known. */
-  private count: number | undefined;
+/** Sends orders to one engine and tracks its sequence number. */
+export class SequencedOrders {
+  /** Number of orders that the engine has accepted; undefined while unknown. */
+  private sequence: number | undefined;
 
-  /** Whether an unload waits for the runs on its adapter: the engine refuses every other order meanwhile. */
-  private isUnloadWaiting = false;
+  /**
+   * Whether an unload waits for requests on its adapter to end. The engine refuses all other orders
+   * meanwhile.
+   */
+  private isUnloadPending = false;
 
   private isClosed = false;
 
-  /** Orders begun, and whether one is under way: an answer to another one meanwhile may rest on either count. */
-  private begun = 0;
+  /**
+   * Number of submitted orders, and whether one is in progress. A poll that overlaps with a submitted order
+   * may have been answered before or after it, under either sequence number.
+   */
+  private submitted = 0;
 
-  private isBeginning = false;
+  private isSubmitting = false;
 
-  /** Settles when the orders that begin something, one at a time, have ended so far. */
-  private turn: Promise<unknown> = Promise.resolve();
+  /** Settles when all orders submitted so far, which run one at a time, have ended. */
+  private lastTask: Promise<unknown> = Promise.resolve();
 
-  /**
-   * Makes one that does not know the count yet.
-   * @param options - The engine and how to talk to it.
-   */
-  constructor(private readonly options: NumberedOrdersOptions) {}
+  constructor(private readonly options: SequencedOrdersOptions) {}
 
-  /** Whether the count is known, so that orders can be given. */
-  get isExact(): boolean {
-    return this.count !== undefined;
+  /** Whether the sequence number is known, so that orders can be sent. */
+  get isSynchronized(): boolean {
+    return this.sequence !== undefined;
   }
 
-  /** Whether an unload waits for the runs on its adapter, so that the engine would refuse every other order. */
+  /**
+   * Whether an unload waits for requests on its adapter to end, so that the engine would refuse all other
+   * orders.
+   */
   get isBlocked(): boolean {
-    return this.isUnloadWaiting;
+    return this.isUnloadPending;
   }
 
   /**
-   * Gives an order that begins something.
-   * @param kind - What to do.
-   * @param ref - With what.
-   * @param isStillRight - Asked when its turn has come; what was believed when the order was decided may have changed.
-   * @returns What became of it. Nothing is sent, and it is busy, while the count is not known or an unload waits for its
-   *   runs; nothing is sent, and it is refused, when it is not right any more.
+   * Submits an order that changes the engine's state, after the orders submitted before it have ended.
+   * @param isStillValid - Called just before sending, as the assumptions behind the order may have changed by
+   *   then.
+   * @returns The outcome. Without sending: busy while the sequence number is unknown or an unload is pending,
+   *   refused when the order is no longer valid.
    */
-  begin(kind: OrderKind, ref: OrderedRef, isStillRight: () => boolean): Promise<OrderOutcome> {
-    return this.inTurn(async () => {
-      const { count } = this;
-      if (count === undefined) this.doubt();
-      if (count === undefined || this.isUnloadWaiting) return OrderOutcome.Busy;
-      if (!isStillRight()) return OrderOutcome.Refused;
-      this.begun += 1;
-      this.isBeginning = true;
-      const outcome = await this.options.orders.send(kind, ref, count);
-      this.isBeginning = false;
-      this.note(outcome, kind, count);
-      return (await this.isReliable(outcome)) ? outcome : OrderOutcome.Unknown;
+  submit(kind: OrderKind, target: OrderTarget, isStillValid: () => boolean): Promise<OrderOutcome> {
+    return this.runExclusively(async () => {
+      const { sequence } = this;
+      if (sequence === undefined) this.invalidate();
+      if (sequence === undefined || this.isUnloadPending) return OrderOutcome.Busy;
+      if (!isStillValid()) return OrderOutcome.Refused;
+      this.submitted += 1;
+      this.isSubmitting = true;
+      const outcome = await this.options.orders.send(kind, target, sequence);
+      this.isSubmitting = false;
+      this.updateSequence(outcome, kind, sequence);
+      return (await this.isConfirmed(outcome)) ? outcome : OrderOutcome.Unknown;
     });
   }
 
   /**
-   * Whether an answer can be built on. Where the engine refuses older tokens, a count that is wrong fits no order. Elsewhere
-   * a former owner's order may make it fit, so each answer that changes the count is shown to be the order's own.
+   * Returns whether a response can be relied on. Where the engine rejects older tokens, a wrong sequence
+   * number never matches. Elsewhere an order of a former owner can make it match, so each response that
+   * changes the sequence number is confirmed to belong to its order.
    */
-  private async isReliable(outcome: OrderOutcome): Promise<boolean> {
-    const changesCount = outcome === OrderOutcome.Started || outcome === OrderOutcome.Done;
-    if (this.options.isFenced || !changesCount) return true;
-    const isShown = (await this.confirm()) !== undefined;
-    if (!isShown) this.doubt();
-    return isShown;
+  private async isConfirmed(outcome: OrderOutcome): Promise<boolean> {
+    const changesSequence = outcome === OrderOutcome.Started || outcome === OrderOutcome.Done;
+    if (this.options.isFenced || !changesSequence) return true;
+    const isOwnResponse = (await this.confirmResponses()) !== undefined;
+    if (!isOwnResponse) this.invalidate();
+    return isOwnResponse;
   }
 
   /**
-   * Repeats an order that the engine has accepted, to learn whether it is done.
-   * @param kind - What was ordered.
-   * @param ref - With what.
-   * @returns How it stands; busy when that can't be said now.
+   * Repeats an order that the engine has accepted, to find out whether it is done.
+   * @returns The current outcome; busy when it can't be determined now.
    */
-  async look(kind: OrderKind, ref: OrderedRef): Promise<OrderOutcome> {
-    return kind === OrderKind.Load ? this.lookAtLoad(ref) : this.lookAtUnload(ref);
+  async poll(kind: OrderKind, target: OrderTarget): Promise<OrderOutcome> {
+    return kind === OrderKind.Load ? this.pollLoad(target) : this.pollUnload(target);
   }
 
-  /** A repeated load names the count too: one that is late must not begin anew on an engine that has lost all. */
-  private async lookAtLoad(ref: OrderedRef): Promise<OrderOutcome> {
-    const { count, begun, isBeginning } = this;
-    if (count === undefined) {
-      this.doubt();
+  /**
+   * A repeated load carries the sequence number too: if it arrives late, it must not start a load on an
+   * engine that has lost its state.
+   */
+  private async pollLoad(target: OrderTarget): Promise<OrderOutcome> {
+    const { sequence, submitted, isSubmitting } = this;
+    if (sequence === undefined) {
+      this.invalidate();
       return OrderOutcome.Busy;
     }
-    const outcome = await this.options.orders.send(OrderKind.Load, ref, count);
-    const isCountOwn = !isBeginning && begun === this.begun;
-    if (outcome === OrderOutcome.Busy && isCountOwn && !this.isUnloadWaiting) this.doubt();
+    const outcome = await this.options.orders.send(OrderKind.Load, target, sequence);
+    const isOnlyOrder = !isSubmitting && submitted === this.submitted;
+    if (outcome === OrderOutcome.Busy && isOnlyOrder && !this.isUnloadPending) this.invalidate();
     return outcome;
   }
 
-  private async lookAtUnload(ref: OrderedRef): Promise<OrderOutcome> {
-    if (this.count === undefined) {
-      this.doubt();
+  private async pollUnload(target: OrderTarget): Promise<OrderOutcome> {
+    if (this.sequence === undefined) {
+      this.invalidate();
       return OrderOutcome.Busy;
     }
-    const outcome = await this.options.orders.send(OrderKind.Unload, ref);
-    if (outcome === OrderOutcome.Done) this.isUnloadWaiting = false;
+    const outcome = await this.options.orders.send(OrderKind.Unload, target);
+    if (outcome === OrderOutcome.Done) this.isUnloadPending = false;
     return outcome;
   }
 
   /**
-   * Shows that the answers so far were those to their orders. To be asked before a slot counts as free: an answer that
-   * only takes up room does no harm when it belongs to another order, as the count does not fit then.
-   * @returns The engine's report, some hundred milliseconds old; undefined when nothing is shown.
+   * Confirms that the responses so far belonged to their orders. Required before a slot is released. A
+   * misattributed response that only occupies a slot is harmless, as the sequence number no longer matches
+   * then.
+   * @returns The engine's report, some hundred milliseconds old; undefined when the responses could not be
+   *   confirmed.
    */
-  async confirm(): Promise<EngineReport | undefined> {
+  async confirmResponses(): Promise<EngineReport | undefined> {
     const { orders } = this.options;
-    if (!orders.isConnected) this.doubt();
-    return orders.confirm();
+    if (!orders.isConnected) this.invalidate();
+    return orders.confirmResponses();
   }
 
   /**
-   * Finds out what the engine holds and how many orders it has accepted. A report is some hundred milliseconds old; it
-   * is exact when the engine then accepts an order, which changes nothing, under the report's count. From then on it
-   * refuses what earlier owners ordered.
-   * @param model - A base model that the engine holds.
-   * @param take - Takes the report that was proved, before any order is given that rests on it.
+   * Reads the engine's state and sequence number from a report and verifies that the report is current.
+   * Reports lag by some hundred milliseconds; a report is current if the engine accepts an order without
+   * effect under the report's sequence number. From then on the engine refuses orders of earlier owners.
+   * @param model - A base model resident on the engine.
+   * @param apply - Receives the verified report before any order is sent that is based on it.
    * @throws EngineEmptyError when the engine holds no model.
-   * @throws AdapterUnavailable when the engine is another one, or another daemon gives it orders.
+   * @throws AdapterUnavailable when the engine has restarted, or another daemon sends it orders.
    */
-  prove(model: string, take: (report: EngineReport) => void): Promise<void> {
-    return this.inTurn(() => this.proveNow(model, take));
+  synchronize(model: string, apply: (report: EngineReport) => void): Promise<void> {
+    return this.runExclusively(() => this.synchronizeNow(model, apply));
   }
 
   /**
-   * Proves that an engine has accepted nothing but the load of its base model, so that no report need be waited for.
-   * @param model - The model.
-   * @returns Whether that is so.
+   * Verifies that an engine has accepted nothing but the load of its base model, which avoids waiting for a
+   * report.
+   * @returns Whether that is the case.
    */
-  proveFresh(model: string): Promise<boolean> {
-    return this.inTurn(async () => {
-      const isDone = (await this.sendModel(model, ONLY_ITS_MODEL)) === OrderOutcome.Done;
-      const isFresh = isDone && (await this.confirm()) !== undefined;
-      if (isFresh && !this.isClosed) this.count = ONLY_ITS_MODEL;
+  synchronizeFresh(model: string): Promise<boolean> {
+    return this.runExclusively(async () => {
+      const isDone = (await this.sendModelLoad(model, MODEL_ONLY_SEQUENCE)) === OrderOutcome.Done;
+      const isFresh = isDone && (await this.confirmResponses()) !== undefined;
+      if (isFresh && !this.isClosed) this.sequence = MODEL_ONLY_SEQUENCE;
       return isFresh;
     });
   }
 
-  /** Gives no order until a report has been proved anew, and has that done. */
-  doubt(): void {
+  /** Discards the sequence number and requests synchronization; no order is sent until that has succeeded. */
+  invalidate(): void {
     if (this.isClosed) return;
-    this.count = undefined;
-    this.options.onDoubt();
+    this.sequence = undefined;
+    this.options.onInvalidated();
   }
 
-  /** The connection has ended: the next order, or look at one, has a report proved first. An idle engine is left alone. */
-  lapse(): void {
-    this.count = undefined;
+  /**
+   * Discards the sequence number after the connection has ended. The next order or poll triggers
+   * synchronization, so an idle engine is left alone.
+   */
+  forgetSequence(): void {
+    this.sequence = undefined;
   }
 
-  /** Gives no order any more. */
+  /** Stops sending orders. */
   close(): void {
     this.isClosed = true;
-    this.count = undefined;
+    this.sequence = undefined;
   }
 
-  private async proveNow(model: string, take: (report: EngineReport) => void): Promise<void> {
+  private async synchronizeNow(model: string, apply: (report: EngineReport) => void): Promise<void> {
     const { replica, orders, timers } = this.options;
-    let isFenceRaised = false;
+    let isTokenRaised = false;
     while (!this.isClosed) {
       const report = await orders.report();
-      if (orders.hasStartedAgain(report)) throw new AdapterUnavailable('The engine has started again.');
-      if (report.models.length === 0) throw new EngineEmptyError(`Engine ${replica.id} holds no model.`);
-      const outcome = await this.sendModel(model, report.sequence);
+      if (orders.detectRestart(report)) throw new AdapterUnavailable('The engine has restarted.');
+      if (report.models.length === 0) throw new EngineEmptyError(`Engine ${replica.id} has no base model.`);
+      const outcome = await this.sendModelLoad(model, report.sequence);
       if (this.isClosed) break;
       if (outcome === OrderOutcome.Done) {
-        this.count = report.sequence;
-        this.isUnloadWaiting = false;
-        take(report);
+        this.sequence = report.sequence;
+        this.isUnloadPending = false;
+        apply(report);
         return;
       }
       if (outcome !== OrderOutcome.Busy && orders.isConnected)
-        throw new AdapterUnavailable(`The report’s proof ended as ${outcome}.`);
-      // An order that is refused leaves the fence as it was, so that a former owner could go on.
-      if (!isFenceRaised && orders.isConnected)
-        isFenceRaised = (await this.sendModel(model, undefined)) === OrderOutcome.Done;
-      await timers.sleep(PROOF_PAUSE_MS);
+        throw new AdapterUnavailable(`The order that verifies a report was answered ${outcome}.`);
+      // A refused order does not raise the highest token that the engine has seen, so a former owner could
+      // continue.
+      if (!isTokenRaised && orders.isConnected)
+        isTokenRaised = (await this.sendModelLoad(model, undefined)) === OrderOutcome.Done;
+      await timers.sleep(SYNCHRONIZE_RETRY_MS);
     }
-    throw new AdapterUnavailable('The engine was given up.');
+    throw new AdapterUnavailable('This daemon no longer owns the engine.');
   }
 
-  private sendModel(model: string, count: number | undefined): Promise<OrderOutcome> {
-    return this.options.orders.send(OrderKind.Load, { model, adapter: undefined, version: undefined }, count);
+  private sendModelLoad(model: string, sequence: number | undefined): Promise<OrderOutcome> {
+    return this.options.orders.send(
+      OrderKind.Load,
+      { model, adapter: undefined, version: undefined },
+      sequence,
+    );
   }
 
-  private note(outcome: OrderOutcome, kind: OrderKind, count: number): void {
-    const next = COUNT_AFTER[outcome](count, kind);
-    if (kind === OrderKind.Unload && outcome === OrderOutcome.Started) this.isUnloadWaiting = true;
-    if (next === undefined) this.doubt();
-    // It may have been doubted meanwhile, as the connection has ended.
-    else if (this.count === count) this.count = next;
+  private updateSequence(outcome: OrderOutcome, kind: OrderKind, sequence: number): void {
+    const next = SEQUENCE_AFTER[outcome](sequence, kind);
+    if (kind === OrderKind.Unload && outcome === OrderOutcome.Started) this.isUnloadPending = true;
+    if (next === undefined) this.invalidate();
+    // The sequence number may have been discarded meanwhile because the connection ended.
+    else if (this.sequence === sequence) this.sequence = next;
   }
 
-  private inTurn<T>(task: () => Promise<T>): Promise<T> {
-    const ended = this.turn.then(task);
-    this.turn = ended.catch(() => undefined);
-    return ended;
+  private runExclusively<T>(task: () => Promise<T>): Promise<T> {
+    const result = this.lastTask.then(task);
+    this.lastTask = result.catch(() => undefined);
+    return result;
   }
 }
--- a/packages/routing/src/core/adapters/session.ts
+++ b/packages/routing/src/core/adapters/session.ts
@@ -1,97 +1,95 @@
 /**
- * What an owner knows of one start of its engine, and shares among the tasks that load and unload adapters there.
+ * State that an owner keeps about one incarnation of its engine, shared by the tasks that load and unload
+ * adapters there.
  *
- * When the engine turns out to have started again, the session is over: its tasks end without touching what comes after.
+ * When the engine turns out to have restarted, the session ends, and its tasks stop without affecting the
+ * next one.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
 import type { ReplicaEntry } from '../view/index.js';
-import type { NumberedOrders } from './sequenced-orders.js';
+import type { SequencedOrders } from './sequenced-orders.js';
 import type { Slot, SlotTable } from './slots.js';
 import type { EngineReport } from './types.js';
 
-/** What a session needs of its owner. */
-export interface SessionOptions {
+/** Dependencies and callbacks of a session, shared with its tasks. */
+export interface SessionContext {
   readonly replica: ReplicaEntry;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  readonly orders: NumberedOrders;
+  readonly orders: SequencedOrders;
   readonly slots: SlotTable;
-  /** Whether the engine refuses orders with older tokens, so that no other owner can give any. */
+  /**
+   * Whether the engine rejects orders with older fencing tokens, so that it accepts orders of no other owner.
+   */
   readonly isFenced: boolean;
-  /** Adapters for which the engine has room. */
-  readonly places: () => number;
-  /** Called when what is in place has changed. */
-  readonly onHoldings: () => void;
-  /** Called when an adapter has come into place. */
-  readonly onArrival: (slot: Slot) => void;
-  /** Called when a slot may have become free. */
-  readonly onRoom: () => void;
+  /** Returns the number of adapters that the engine can hold. */
+  readonly capacity: () => number;
+  /** Called when the set of resident adapters has changed. */
+  readonly onResidencyChange: () => void;
+  /** Called when an adapter has become resident. */
+  readonly onLoaded: (slot: Slot) => void;
+  /** Called when a slot may have become available. */
+  readonly onSlotAvailable: () => void;
 }
 
-/** One start of the engine. */
+/** Session of an owner with one incarnation of its engine. */
 export class EngineSession {
-  /** Base models in place. */
+  /** Names of the resident base models. */
   readonly models = new Set<string>();
 
   private hasEnded = false;
 
-  /** Reports that were proved. */
-  private reports = 0;
+  /** Number of verified reports. */
+  private reportCount = 0;
 
-  private provedAt = 0;
+  private verifiedAt = 0;
 
-  /** Orders that the engine had accepted when the last report was proved. */
-  provedSequence = 0;
+  /** Sequence number of the engine in the last verified report. */
+  verifiedSequence = 0;
 
-  /**
-   * Makes a session of which nothing is known yet.
-   * @param parts - The engine, its slots and its orders.
-   */
-  constructor(readonly parts: SessionOptions) {}
+  constructor(readonly context: SessionContext) {}
 
-  /** Whether the engine has started again, or the owner has given it up. */
-  get isOver(): boolean {
+  /** Whether the engine has restarted or the owner has given it up. */
+  get isEnded(): boolean {
     return this.hasEnded;
   }
 
-  /** Ends the session: its tasks stop at their next step, and no order is given under it any more. */
+  /** Ends the session: its tasks stop at their next step, and no further order is sent under it. */
   end(): void {
     this.hasEnded = true;
-    this.parts.orders.close();
+    this.context.orders.close();
   }
 
-  /** Time since the last report was proved, in milliseconds. */
-  get sinceProofMs(): number {
-    return this.parts.timers.now() - this.provedAt;
+  /** Time since the last report was verified, in milliseconds. */
+  get sinceVerifiedMs(): number {
+    return this.context.timers.now() - this.verifiedAt;
   }
 
-  /** How many reports were proved. */
-  get proofs(): number {
-    return this.reports;
+  /** Number of verified reports so far. */
+  get verifiedReports(): number {
+    return this.reportCount;
   }
 
-  /**
-   * Notes what a report says that was just proved.
-   * @param report - The report.
-   */
-  note(report: EngineReport): void {
-    this.reports += 1;
-    this.provedAt = this.parts.timers.now();
-    this.provedSequence = report.sequence;
+  /** Records a report that was just verified. */
+  recordReport(report: EngineReport): void {
+    this.reportCount += 1;
+    this.verifiedAt = this.context.timers.now();
+    this.verifiedSequence = report.sequence;
     for (const { name } of report.models) this.models.add(name);
   }
 
   /**
-   * Counts a slot as free; the line tells on what grounds, should the engine turn out to hold more than it can.
+   * Releases a slot and logs the reason, which helps to explain an engine that turns out to hold more than
+   * its capacity.
    * @param key - `model/adapter`.
-   * @param reason - Why the engine can't hold it.
+   * @param reason - Why the engine can't hold the adapter.
    */
-  free(key: string, reason: string): void {
-    const { slots, log, replica } = this.parts;
+  releaseSlot(key: string, reason: string): void {
+    const { slots, log, replica } = this.context;
     slots.free(key);
     if (!log.hasDetails) return;
-    log.detail('slot.freed', `The slot of ${key} is free.`, {
+    log.detail('slot.freed', `Released the slot of ${key}.`, {
       replica: replica.id,
       adapter: key,
       reason,
--- a/packages/routing/src/core/adapters/slots.ts
+++ b/packages/routing/src/core/adapters/slots.ts
@@ -1,211 +1,203 @@
-/** The adapter slots of one engine, as the daemon keeps them that gives it orders. */
+/** Slot table of one engine, as its owner tracks it. */
 import type { TimerService } from '@celeryyoke/core';
 
-/** What is in a slot. */
+/** State of an occupied slot. The initials of the values appear in the `slots` log line. */
 export enum SlotState {
-  /** Kept for a load that is not known to have been accepted. */
+  /** Reserved for a load that the engine is not known to have accepted. */
   Reserved = 'reserved',
-  /** On its way: the engine has not said yet that it is in place. It must not be ordered away. */
+  /**
+   * The engine has accepted the load and not yet reported the adapter as resident. It must not be ordered to
+   * unload it.
+   */
   Loading = 'loading',
-  Held = 'held',
-  /** It was in place, a request did not find it, and the engine could not be asked. */
+  Resident = 'held',
+  /** The adapter was resident, but a request did not find it and the engine could not be asked. */
   Doubted = 'doubted',
-  /** Ordered away, but requests still run on it. */
-  Dropping = 'dropping',
+  /** Ordered to unload, but requests still run on the adapter. */
+  Unloading = 'dropping',
 }
 
-/** States in which an adapter may be ordered away when no request runs on it. */
-const EVICTABLE: ReadonlySet<SlotState> = new Set([SlotState.Held, SlotState.Doubted]);
-/** States in which a load counts towards those that the engine takes in at once. */
-const COMING: ReadonlySet<SlotState> = new Set([SlotState.Reserved, SlotState.Loading]);
-const MOVING: ReadonlySet<SlotState> = new Set([...COMING, SlotState.Dropping]);
+/** States in which an adapter may be unloaded when no request runs on it. */
+const EVICTABLE_STATES: ReadonlySet<SlotState> = new Set([SlotState.Resident, SlotState.Doubted]);
+/** States that count towards the engine's limit on concurrent loads. */
+const LOADING_STATES: ReadonlySet<SlotState> = new Set([SlotState.Reserved, SlotState.Loading]);
+const TRANSITION_STATES: ReadonlySet<SlotState> = new Set([...LOADING_STATES, SlotState.Unloading]);
 
-/** One occupied slot. */
+/** An occupied slot. */
 export interface Slot {
   readonly key: string;
   version: number;
   state: SlotState;
   /** Monotonic time of the last known use. */
-  usedAt: number;
-  /** Requests known to run on it, over all daemons. */
+  lastUsedAt: number;
+  /** Requests known to be running on the adapter, over all daemons. */
   running: number;
-  /** Uses that fade over {@link FADE_MS}. */
-  uses: number;
-  /** Version that is, or may be, in place beside this one; another one takes a second slot. */
-  beneath: number | undefined;
-  /** The task that follows the load into it. */
-  watcher: object | undefined;
+  /** Number of uses, decaying exponentially over {@link USE_DECAY_MS}. */
+  decayedUses: number;
+  /**
+   * Version of the same adapter that is, or may be, resident in addition to this one. If it differs, it
+   * occupies a second slot.
+   */
+  replacedVersion: number | undefined;
+  /** Task that follows the load into this slot. */
+  loadTask: object | undefined;
   /**
-   * Whether it is known to be in place now. A report alone does not show it: an unload that waited for its runs may have
-   * ended since, and the engine does not count that.
+   * Whether the adapter is known to be resident now. A report alone is not sufficient: an unload that waited
+   * for running requests may have ended since, and the engine does not count that.
    */
-  isSeen: boolean;
+  isConfirmedResident: boolean;
 }
 
-/** Time over which uses fade, in milliseconds: demand moves on within seconds. */
-const FADE_MS = 8000;
-/** Time after a load or use in which an adapter is no victim, in milliseconds: the request that waited is on its way. */
-const PROTECTED_MS = 300;
+/** Time constant of the decay of uses, in milliseconds: demand shifts within seconds. */
+const USE_DECAY_MS = 8000;
+/**
+ * Time after a load or use during which an adapter is not evicted, in milliseconds: the request that waited
+ * for it is about to arrive.
+ */
+const EVICTION_GRACE_MS = 300;
 
 /**
- * Tells whether an order concerns the adapter in a slot that the engine has not said to be done.
- * @param slot - The slot.
- * @returns Whether it is on its way, in or out.
+ * Returns whether an order for the adapter in a slot is not known to be done, so that it is being loaded or
+ * unloaded.
  */
-export function isMoving({ state }: Slot): boolean {
-  return MOVING.has(state);
+export function isInTransition({ state }: Slot): boolean {
+  return TRANSITION_STATES.has(state);
 }
 
 /**
- * Counts the slots that an adapter takes.
- * @param slot - Its slot.
- * @returns Two while another version of it is, or may be, in place.
+ * Returns the number of slots that an adapter occupies: two while another version of it is, or may be,
+ * resident.
  */
-function slotsTaken({ version, beneath }: Slot): number {
-  return beneath === undefined || beneath === version ? 1 : 2;
+function slotsOccupiedBy({ version, replacedVersion }: Slot): number {
+  return replacedVersion === undefined || replacedVersion === version ? 1 : 2;
 }
 
-/** One whose load is still followed is left to that task: it may not have heard yet that the adapter is in place. */
-function isEvictable({ state, running, beneath, watcher }: Slot): boolean {
-  return EVICTABLE.has(state) && running === 0 && beneath === undefined && watcher === undefined;
+/** An adapter whose load is still followed is left alone: the task may not know yet that it is resident. */
+function isEvictable({ state, running, replacedVersion, loadTask }: Slot): boolean {
+  return (
+    EVICTABLE_STATES.has(state) && running === 0 && replacedVersion === undefined && loadTask === undefined
+  );
 }
 
-/**
- * Names the adapter in a slot, as orders name it.
- * @param slot - The slot.
- * @returns Base model and adapter.
- */
-export function refOf({ key }: Slot): { readonly model: string; readonly adapter: string } {
+/** Returns the base model and adapter of a slot, as named in orders. */
+export function adapterOf({ key }: Slot): { readonly model: string; readonly adapter: string } {
   const slash = key.indexOf('/');
   return { model: key.slice(0, slash), adapter: key.slice(slash + 1) };
 }
 
-/** The slots. */
+/** Table of the occupied slots of one engine. */
 export class SlotTable {
   private readonly slots = new Map<string, Slot>();
 
-  /**
-   * Makes an empty table.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
-  /** Occupied slots, whatever is in them. */
+  /** Number of occupied slots, in any state. */
   get occupied(): number {
     let count = 0;
-    for (const slot of this.slots.values()) count += slotsTaken(slot);
+    for (const slot of this.slots.values()) count += slotsOccupiedBy(slot);
     return count;
   }
 
-  /** Adapters that no request runs on. */
+  /** Number of adapters that could be evicted now. */
   get evictable(): number {
     let count = 0;
     for (const slot of this.slots.values()) if (isEvictable(slot)) count += 1;
     return count;
   }
 
-  /** Adapters on their way. */
+  /** Number of loads reserved or in progress. */
   get loading(): number {
     let count = 0;
-    for (const { state } of this.slots.values()) if (COMING.has(state)) count += 1;
+    for (const { state } of this.slots.values()) if (LOADING_STATES.has(state)) count += 1;
     return count;
   }
 
-  /** All slots. */
   all(): Iterable<Slot> {
     return this.slots.values();
   }
 
   /**
-   * Finds the slot of an adapter.
+   * Returns the slot of an adapter, or undefined.
    * @param key - `model/adapter`.
-   * @returns The slot, or undefined.
    */
   get(key: string): Slot | undefined {
     return this.slots.get(key);
   }
 
   /**
-   * Occupies a slot.
+   * Occupies a slot, or updates the slot that the adapter already occupies.
    * @param key - `model/adapter`.
-   * @param version - Its version.
-   * @param state - What is known of it.
-   * @returns The slot.
    */
   put(key: string, version: number, state: SlotState): Slot {
-    const slot = this.slots.get(key) ?? this.make(key, version, state);
+    const slot = this.slots.get(key) ?? this.create(key, version, state);
     slot.version = version;
     slot.state = state;
-    slot.usedAt = this.timers.now();
+    slot.lastUsedAt = this.timers.now();
     this.slots.set(key, slot);
     return slot;
   }
 
   /**
-   * Frees a slot.
+   * Removes a slot from the table.
    * @param key - `model/adapter`.
    */
   free(key: string): void {
     this.slots.delete(key);
   }
 
-  /**
-   * Notes what is known of an adapter now.
-   * @param slot - Its slot.
-   * @param state - What is known of it now.
-   */
-  mark(slot: Slot, state: SlotState): void {
+  /** Changes the state of a slot and marks it as used. */
+  setState(slot: Slot, state: SlotState): void {
     this.put(slot.key, slot.version, state);
   }
 
   /**
-   * Notes uses that a daemon told.
+   * Records requests that a daemon has reported for an adapter.
    * @param key - `model/adapter`.
-   * @param uses - Requests since it told last.
+   * @param uses - Requests since its previous report.
    */
-  use(key: string, uses: number): void {
+  recordUses(key: string, uses: number): void {
     const slot = this.slots.get(key);
     if (slot === undefined || uses === 0) return;
-    slot.uses = this.faded(slot) + uses;
-    slot.usedAt = this.timers.now();
+    slot.decayedUses = this.usesNow(slot) + uses;
+    slot.lastUsedAt = this.timers.now();
   }
 
   /**
-   * Chooses the adapter that is missed least.
-   * @returns Its slot, or undefined when every one is in use.
+   * Returns the evictable slot with the fewest decayed uses, the least recently used of equals; undefined
+   * when there is none.
    */
-  victim(): Slot | undefined {
+  evictionCandidate(): Slot | undefined {
     const now = this.timers.now();
-    let least: Slot | undefined;
-    let leastScore = Number.POSITIVE_INFINITY;
+    let candidate: Slot | undefined;
+    let candidateUses = Number.POSITIVE_INFINITY;
     for (const slot of this.slots.values()) {
-      if (!isEvictable(slot) || now - slot.usedAt < PROTECTED_MS) continue;
-      const score = this.faded(slot);
-      if (score < leastScore || (score === leastScore && slot.usedAt < least!.usedAt)) {
-        least = slot;
-        leastScore = score;
+      if (!isEvictable(slot) || now - slot.lastUsedAt < EVICTION_GRACE_MS) continue;
+      const uses = this.usesNow(slot);
+      if (uses < candidateUses || (uses === candidateUses && slot.lastUsedAt < candidate!.lastUsedAt)) {
+        candidate = slot;
+        candidateUses = uses;
       }
     }
-    return least;
+    return candidate;
   }
 
-  private make(key: string, version: number, state: SlotState): Slot {
-    const usedAt = this.timers.now();
-    const isSeen = false;
+  private create(key: string, version: number, state: SlotState): Slot {
+    const lastUsedAt = this.timers.now();
+    const isConfirmedResident = false;
     return {
       key,
       version,
       state,
-      usedAt,
+      lastUsedAt,
       running: 0,
-      uses: 0,
-      beneath: undefined,
-      watcher: undefined,
-      isSeen,
+      decayedUses: 0,
+      replacedVersion: undefined,
+      loadTask: undefined,
+      isConfirmedResident,
     };
   }
 
-  private faded(slot: Slot): number {
-    return slot.uses * Math.exp((slot.usedAt - this.timers.now()) / FADE_MS);
+  private usesNow(slot: Slot): number {
+    return slot.decayedUses * Math.exp((slot.lastUsedAt - this.timers.now()) / USE_DECAY_MS);
   }
 }
--- a/packages/routing/src/core/adapters/types.ts
+++ b/packages/routing/src/core/adapters/types.ts
@@ -1,165 +1,179 @@
-/** Orders to engines and what they hold. */
+/**
+ * Types of the orders sent to engines, of the reports engines return, and of the adapters resident on them.
+ */
 import type { HeldModel, ReplicaEntry } from '../view/index.js';
 
-/** What an order asks for. */
+/** What an order tells the engine to do. */
 export enum OrderKind {
   Load = 'load',
   Unload = 'unload',
 }
 
-/** An order to an engine. */
+/** An order to load or unload an adapter, or to load a base model. */
 export interface EngineOrder {
   readonly kind: OrderKind;
   readonly model: string;
-  /** Left out for the base model itself. */
+  /** Undefined for the base model itself. */
   readonly adapter: string | undefined;
-  /** Version to load; the newest when left out. */
+  /** Version to load; undefined for the newest. */
   readonly version: number | undefined;
-  /** The daemon that gives the order. */
+  /** Address of the daemon that sends the order. */
   readonly holder: string;
-  /** Its fencing token. */
+  /** Fencing token of that daemon's lease on the engine. */
   readonly token: number;
-  /** Orders that must have begun something on the engine before, or it refuses this one as busy; undefined when any will do. */
+  /**
+   * Sequence number that the engine must have reached ({@link EngineReport.sequence}); it answers busy when
+   * its own differs. Undefined skips the check.
+   */
   readonly expected: number | undefined;
 }
 
-/** What became of an order. */
+/** Result of an order. */
 export enum OrderOutcome {
-  /** The engine carries it out. */
+  /** Accepted; the engine is carrying it out. */
   Started = 'started',
-  /** What it asks for is so. */
+  /** The requested state is already reached. */
   Done = 'done',
-  /** The engine is at another order. */
+  /** The engine is occupied with another order, or the expected sequence number does not match. */
   Busy = 'busy',
-  /** Another daemon has given orders with a higher token. */
+  /** The engine has seen a higher fencing token from another daemon. */
   Fenced = 'fenced',
-  /** The engine is not the one that was meant. */
+  /** The engine that received the order is not the intended one. */
   Misdirected = 'misdirected',
-  /** The engine finds it wrong. */
+  /** The engine rejected the order as invalid. */
   Refused = 'refused',
-  /** The engine could not be reached; it has not got the order. */
+  /** The engine could not be reached and has not received the order. */
   Unreachable = 'unreachable',
-  /** There was no answer; the engine may carry it out. */
+  /** No usable response; the engine may be carrying out the order. */
   Unknown = 'unknown',
 }
 
-/** What an engine reports of itself; some hundred milliseconds old. */
+/** An engine's report of its own state. It lags behind the engine by some hundred milliseconds. */
 export interface EngineReport {
-  /** Unix milliseconds of its start; undefined when it does not say. */
+  /** Start time of the engine process as Unix milliseconds; undefined if the engine does not report it. */
   readonly bornAt: number | undefined;
-  /** Orders that had begun something on it by then, since its start. */
+  /** Number of orders accepted since the engine started that had an effect on it. */
   readonly sequence: number;
-  /** Requests that ran on it; undefined when it does not say. */
+  /** Requests running on the engine; undefined if the engine does not report them. */
   readonly running: number | undefined;
-  /** Time after which it is gone whatever it runs, in milliseconds; undefined unless it is taken away at short notice. */
+  /**
+   * Time until the engine is gone whatever runs on it, in milliseconds; undefined unless it is withdrawn at
+   * short notice.
+   */
   readonly remainingMs: number | undefined;
   readonly models: readonly HeldModel[];
-  /** Adapters on their way, as model, adapter and version. */
+  /** Adapters that are being loaded. */
   readonly loading: readonly { readonly model: string; readonly adapter: string; readonly version: number }[];
 }
 
 /**
- * A connection to an engine on which nothing but the orders of one owner goes.
+ * A connection to an engine that carries nothing but the orders of one owner.
  *
- * It leads to one start of the engine and ends with it. Calls go one after the other, and answers come in the order of
- * the calls; but an engine may answer a call twice, and then each later answer is the one to the call before. An answer
- * to an order names no order, so it can't be told from another one's; a report can be told from any other answer. So a
- * report that comes where a report is due shows that all answers before it were those to their calls.
+ * It belongs to one incarnation of the engine and ends with it. Calls are sent one after the other and
+ * responses arrive in the order of the calls. An engine may answer a call twice, however; then each later
+ * response is the one to the previous call. The response to an order does not identify the order, but a
+ * report can be told apart from any other response. A report that arrives where a report is due therefore
+ * confirms that every earlier response belonged to its own call.
  *
- * It closes with the first call that fails, and with an answer that is none to its kind of call.
+ * The connection closes when a call fails, or when a response does not fit the kind of call.
  */
 export interface EngineConnection {
-  /** Whether it can take another call. */
+  /** Whether another call can be sent. */
   readonly isOpen: boolean;
   /**
-   * Gives an order.
-   * @param order - The order.
-   * @returns What became of it as far as the answer tells; unreachable when it was not sent. It does not reject.
+   * Sends an order. Does not reject.
+   * @returns The outcome as far as the response shows it; unreachable when the order was not sent.
    */
   order(order: EngineOrder): Promise<OrderOutcome>;
   /**
-   * Asks for a report.
-   * @returns The report.
-   * @throws Error when there is none; the connection is closed then.
+   * Requests a report.
+   * @throws Error when there is no report; the connection is then closed.
    */
   report(): Promise<EngineReport>;
-  /** Ends it; what is under way on it is given up. */
+  /** Closes the connection and abandons calls in progress. */
   close(): void;
 }
 
-/** Talks to engines; a dialect implements it. */
+/** Client for engines; implemented once per engine dialect. */
 export interface EngineControl {
   /**
-   * Opens a connection for orders.
-   * @param replica - The engine.
-   * @param onClosed - Called once when the connection is of no further use.
-   * @returns The connection; it is set up with its first call.
+   * Creates a connection for orders. It is set up with its first call.
+   * @param onClosed - Called once, when the connection can no longer be used.
    */
   connect(replica: ReplicaEntry, onClosed: () => void): EngineConnection;
   /**
-   * Asks for a report on any connection.
-   * @param replica - The engine.
-   * @returns The report.
-   * @throws Error when there is none.
+   * Requests a report on any connection.
+   * @throws Error when there is no report.
    */
   report(replica: ReplicaEntry): Promise<EngineReport>;
 }
 
-/** Names an adapter of a model. */
+/** Identifies an adapter of a base model. */
 export interface AdapterRef {
   readonly model: string;
   readonly adapter: string;
-  /** The version that is wanted; the newest when left out. */
+  /** Lowest acceptable version; when undefined, any resident version will do. */
   readonly version: number | undefined;
-  /** Whether the engine has just refused a request as it lacks the adapter, so that what is believed must be checked. */
+  /**
+   * Whether the engine has just rejected a request because the adapter is missing, so that its residency must
+   * be checked.
+   */
   readonly isDoubted?: boolean;
 }
 
-/** How urgently an adapter is wanted. */
+/** How urgently a request needs an adapter. */
 export interface Urgency {
   /** Rank of the request; 0 is the most urgent. */
   readonly rank: number;
-  /** How long the request has waited for it already, here or elsewhere, in milliseconds. */
+  /** Time that the request has already waited for the adapter, on any engine, in milliseconds. */
   readonly waitedMs: number;
-  /** Time in which the load must begin for the answer to be on time, in milliseconds; below 0 when it is too late. */
+  /**
+   * Time left until the load must start for the response to be on time, in milliseconds; negative when that
+   * has passed.
+   */
   readonly dueInMs: number;
-  /** Time in which the load must begin for the request to be served at all, in milliseconds. */
+  /** Time left until the load must start for the request to be served at all, in milliseconds. */
   readonly lastCallMs: number;
-  /** Longest wait until the load begins, in milliseconds; 0 asks for one that can begin at once. */
+  /**
+   * Longest wait until the load starts, in milliseconds; 0 accepts only a load that can start immediately.
+   */
   readonly patienceMs: number;
-  /** Longest wait until the adapter is in place, in milliseconds. */
+  /** Longest wait until the adapter is resident, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Has an adapter on an engine, through the daemon that gives it orders; false when its turn does not come in time. */
+/**
+ * Makes an adapter resident on an engine through the daemon that owns the engine. Resolves to false when the
+ * load could not start in time.
+ */
 export type EnsureAdapter = (replica: ReplicaEntry, ref: AdapterRef, urgency: Urgency) => Promise<boolean>;
 
-/** Why an adapter could not be had. */
+/** Thrown when an adapter can't be made resident. */
 export class AdapterUnavailable extends Error {}
 
-/** What the daemon that gives orders to an engine knows that it holds. */
+/** The models and adapters resident on an engine, as published by its owner. */
 export interface Holdings {
   readonly replica: string;
-  /** Token of the lease under which it was learnt; the highest is believed. */
+  /**
+   * Fencing token of the lease under which this was recorded; of two, the one with the higher token is valid.
+   */
   readonly token: number;
   readonly models: readonly string[];
-  /** Adapters in place, as `model/adapter`, and their versions. */
+  /** Versions of the resident adapters, by `model/adapter`. */
   readonly adapters: Readonly<Record<string, number>>;
 }
 
-/** How an engine's adapter slots stand. */
+/** Availability of an engine's adapter slots. */
 export interface SlotAvailability {
   readonly replica: string;
-  /** Slots that are free or could be freed at once; below 0 when the engine can't be reached. */
+  /** Slots that are free or can be freed immediately; negative when the engine is unreachable. */
   readonly freeSlots: number;
   /** Loads that wait for a slot. */
   readonly queued: number;
 }
 
 /**
- * Names an adapter in tables and messages.
- * @param model - Base model.
- * @param adapter - Adapter.
+ * Builds the key of an adapter for tables and messages.
  * @returns `model/adapter`.
  */
 export function adapterKey(model: string, adapter: string): string {
--- a/packages/routing/src/core/adapters/unloader.ts
+++ b/packages/routing/src/core/adapters/unloader.ts
@@ -1,125 +1,134 @@
-/** Makes room on one engine: which adapter goes, and how. */
-import { noteSeen } from './reconcile-slots.js';
-import type { OrderedRef } from './orders.js';
+/** Frees slots on one engine by evicting adapters. */
+import { markConfirmed } from './reconcile-slots.js';
+import type { OrderTarget } from './orders.js';
 import type { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
-import { refOf, SlotState } from './slots.js';
+import { adapterOf, SlotState } from './slots.js';
 import { OrderKind, OrderOutcome } from './types.js';
 
-/** Time from telling the others that an adapter goes until what they had sent before is known, in milliseconds: a few ways between failure domains. */
-const WITHDRAWAL_MS = 6;
-/** Pause between two looks at an adapter on its way out, in milliseconds: its last request runs for a second or so. */
-const DROP_POLL_MS = 50;
-/** Pause when every adapter is in use, or the engine is at another order, in milliseconds. */
-const BUSY_MS = 15;
+/**
+ * Time for other daemons to learn that an adapter is withdrawn and for the requests they sent before to
+ * become known here, in milliseconds: a few one-way delays between failure domains.
+ */
+const WITHDRAWAL_PROPAGATION_MS = 6;
+/**
+ * Interval between polls of an unload that waits for requests to end, in milliseconds: the last request runs
+ * for about a second.
+ */
+const UNLOAD_POLL_MS = 50;
+/** Delay when every adapter is in use or the engine is occupied with another order, in milliseconds. */
+const BUSY_RETRY_MS = 15;
 
-/** Unloads adapters, one at a time. */
-export class Unloads {
-  private isMakingRoom = false;
+/** Evicts adapters, one at a time. */
+export class Unloader {
+  private isFreeingSlot = false;
 
-  /**
-   * Makes one for an engine.
-   * @param session - The engine's slots and orders.
-   */
   constructor(private readonly session: EngineSession) {}
 
-  /** Unloads the adapter that is missed least; the session hears when there may be room. */
-  async makeRoom(): Promise<void> {
-    const { orders, slots, timers, onRoom } = this.session.parts;
-    if (this.isMakingRoom) return;
-    this.isMakingRoom = true;
+  /** Evicts the least used adapter; the session is notified when a slot may be available. */
+  async freeSlot(): Promise<void> {
+    const { orders, slots, timers, onSlotAvailable } = this.session.context;
+    if (this.isFreeingSlot) return;
+    this.isFreeingSlot = true;
     try {
-      const victim = orders.isBlocked ? undefined : slots.victim();
-      if (victim === undefined) await timers.sleep(BUSY_MS);
-      else await this.unload(victim);
+      const candidate = orders.isBlocked ? undefined : slots.evictionCandidate();
+      if (candidate === undefined) await timers.sleep(BUSY_RETRY_MS);
+      else await this.unload(candidate);
     } finally {
-      this.isMakingRoom = false;
+      this.isFreeingSlot = false;
     }
-    onRoom();
+    onSlotAvailable();
   }
 
   /**
-   * Unloads an adapter that nobody uses.
+   * Unloads an adapter that no request uses.
    *
-   * An engine that is told to unload one in use takes no other order until the last request on it has ended, which
-   * may be seconds. So the others are told first, and what they have sent by then comes to be known.
+   * An engine that is ordered to unload an adapter in use accepts no other order until the last request on it
+   * has ended, which can take seconds. The withdrawal is therefore published first, and requests that other
+   * daemons sent before have time to become known.
    */
-  private async unload(victim: Slot): Promise<void> {
+  private async unload(candidate: Slot): Promise<void> {
     const { session } = this;
-    const { slots, orders, timers, isFenced, onHoldings } = session.parts;
-    slots.mark(victim, SlotState.Dropping);
-    onHoldings();
-    await timers.sleep(WITHDRAWAL_MS);
-    if (victim.running > 0) {
-      this.takeBack(victim);
+    const { slots, orders, timers, isFenced, onResidencyChange } = session.context;
+    slots.setState(candidate, SlotState.Unloading);
+    onResidencyChange();
+    await timers.sleep(WITHDRAWAL_PROPAGATION_MS);
+    if (candidate.running > 0) {
+      this.cancelUnload(candidate);
       return;
     }
-    const isStillRight = (): boolean => victim.running === 0 && this.isDropping(victim);
-    const outcome = await orders.begin(OrderKind.Unload, anyVersion(victim), isStillRight);
-    if (session.isOver) return;
+    const isStillValid = (): boolean => candidate.running === 0 && this.isUnloading(candidate);
+    const outcome = await orders.submit(OrderKind.Unload, anyVersion(candidate), isStillValid);
+    if (session.isEnded) return;
     if (outcome === OrderOutcome.Done) {
-      // Was it gone before, the engine has not counted the order; another owner's next one would make up for that.
-      if (!isFenced && !victim.isSeen) orders.doubt();
-      await this.free(victim, 'unloaded');
-    } else if (outcome === OrderOutcome.Started) void this.waitForRuns(victim);
-    // Without an answer it may be gone; it counts as in place until a report or a request shows that it is not.
-    else this.takeBack(victim);
+      // If the adapter was already gone, the engine has not counted the order, and the next order of another
+      // owner would make the sequence numbers match by accident.
+      if (!isFenced && !candidate.isConfirmedResident) orders.invalidate();
+      await this.releaseSlot(candidate, 'unloaded');
+    } else if (outcome === OrderOutcome.Started) void this.waitForRequests(candidate);
+    // Without a response the adapter may be gone; it counts as resident until a report or a request shows
+    // otherwise.
+    else this.cancelUnload(candidate);
   }
 
-  /** The adapter stays after all, unless a report that was proved meanwhile has said what became of it. */
-  private takeBack(slot: Slot): void {
-    const { slots, onHoldings } = this.session.parts;
-    if (!this.isDropping(slot)) return;
-    slots.mark(slot, SlotState.Held);
-    onHoldings();
+  /** Keeps the adapter after all, unless a report verified in the meantime has changed its state. */
+  private cancelUnload(slot: Slot): void {
+    const { slots, onResidencyChange } = this.session.context;
+    if (!this.isUnloading(slot)) return;
+    slots.setState(slot, SlotState.Resident);
+    onResidencyChange();
   }
 
   /**
-   * Counts the slot as free once the answer is known to be the one to this order: it would be filled at once, and where
-   * the engine still holds the adapter, it would be ordered beyond its room.
+   * Releases the slot once the response is confirmed to belong to this order. The slot would be filled
+   * immediately, and if the engine still held the adapter, that would exceed its capacity.
    */
-  private async free(slot: Slot, reason: string): Promise<void> {
+  private async releaseSlot(slot: Slot, reason: string): Promise<void> {
     const { session } = this;
-    const report = await session.parts.orders.confirm();
-    if (report === undefined || session.isOver || !this.isDropping(slot)) return;
-    session.free(slot.key, reason);
-    noteSeen(session, report);
+    const report = await session.context.orders.confirmResponses();
+    if (report === undefined || session.isEnded || !this.isUnloading(slot)) return;
+    session.releaseSlot(slot.key, reason);
+    markConfirmed(session, report);
   }
 
-  private noteWaited(slot: Slot, waitedMs: number): void {
-    const { log, replica } = this.session.parts;
-    log.decide('unload.waited', `Engine ${replica.id} took no orders until ${slot.key} was out of use.`, {
-      replica: replica.id,
-      adapter: slot.key,
-      waitedMs: Math.round(waitedMs),
-      sinceLearntMs: Math.round(this.session.sinceProofMs),
-    });
+  private logWait(slot: Slot, waitedMs: number): void {
+    const { log, replica } = this.session.context;
+    log.decide(
+      'unload.waited',
+      `Engine ${replica.id} accepted no orders until the last request on ${slot.key} had ended.`,
+      {
+        replica: replica.id,
+        adapter: slot.key,
+        waitedMs: Math.round(waitedMs),
+        sinceLearntMs: Math.round(this.session.sinceVerifiedMs),
+      },
+    );
   }
 
-  /** Whether it is still on its way out, as far as no report has said otherwise. */
-  private isDropping(slot: Slot): boolean {
-    return slot.state === SlotState.Dropping && this.session.parts.slots.get(slot.key) === slot;
+  /** Whether the slot is still being unloaded, as far as no report has shown otherwise. */
+  private isUnloading(slot: Slot): boolean {
+    return slot.state === SlotState.Unloading && this.session.context.slots.get(slot.key) === slot;
   }
 
-  private async waitForRuns(slot: Slot): Promise<void> {
+  private async waitForRequests(slot: Slot): Promise<void> {
     const { session } = this;
-    const { orders, timers, onRoom } = session.parts;
+    const { orders, timers, onSlotAvailable } = session.context;
     const startedAt = timers.now();
-    while (this.isDropping(slot)) {
-      await timers.sleep(DROP_POLL_MS);
-      if (session.isOver) return;
-      const outcome = await orders.look(OrderKind.Unload, anyVersion(slot));
-      if (session.isOver) return;
+    while (this.isUnloading(slot)) {
+      await timers.sleep(UNLOAD_POLL_MS);
+      if (session.isEnded) return;
+      const outcome = await orders.poll(OrderKind.Unload, anyVersion(slot));
+      if (session.isEnded) return;
       if (outcome !== OrderOutcome.Done) continue;
-      this.noteWaited(slot, timers.now() - startedAt);
-      await this.free(slot, 'unloaded when its last request had ended');
-      onRoom();
+      this.logWait(slot, timers.now() - startedAt);
+      await this.releaseSlot(slot, 'unloaded after its last request had ended');
+      onSlotAvailable();
       return;
     }
   }
 }
 
-/** An adapter is unloaded whatever its version. */
-function anyVersion(slot: Slot): OrderedRef {
-  return { ...refOf(slot), version: undefined };
+/** Returns the target of an unload order, which applies to any version. */
+function anyVersion(slot: Slot): OrderTarget {
+  return { ...adapterOf(slot), version: undefined };
 }
--- a/packages/routing/test/engine-owner.test.ts
+++ b/packages/routing/test/engine-owner.test.ts
@@ -30,10 +30,10 @@
     self: 'a',
     isFenced: true,
     log,
-    authority: () => 5,
+    fencingToken: () => 5,
     onFenced: () => undefined,
-    onHoldings: () => undefined,
-    onStart: () => undefined,
+    onResidencyChange: () => undefined,
+    onRestart: () => undefined,
     ...options,
   });
 }
@@ -47,9 +47,9 @@
   const owner = makeKeeper({
     control,
     timers,
-    authority: () => authority.token,
+    fencingToken: () => authority.token,
     onFenced: (token) => fenced.push(token),
-    onHoldings: (residency) => told.push(residency),
+    onResidencyChange: (residency) => told.push(residency),
   });
   void owner.run();
   await timers.advance(LEARNT_MS);
@@ -67,7 +67,7 @@
     replica: { ...engineEntry('e'), models: [] },
     control,
     timers,
-    onHoldings: (residency) => told.push(residency),
+    onResidencyChange: (residency) => told.push(residency),
   });
   void owner.run();
   await timers.advance(390);
@@ -98,7 +98,7 @@
   control.slots.set('x', { isLoading: false, running: 0 });
   control.sequence = 7;
   const told: Holdings[] = [];
-  const owner = makeKeeper({ control, timers, onHoldings: (residency) => told.push(residency) });
+  const owner = makeKeeper({ control, timers, onResidencyChange: (residency) => told.push(residency) });
   void owner.run();
   await timers.advance(5);
   t.deepEqual(told.at(-1)?.adapters, { [`${MODEL}/x`]: 1 });
@@ -111,7 +111,7 @@
   for (const adapter of ['x', 'y', 'z']) control.slots.set(adapter, { isLoading: false, running: 0 });
   control.sequence = 3;
   const told: Holdings[] = [];
-  const owner = makeKeeper({ control, timers, onHoldings: (residency) => told.push(residency) });
+  const owner = makeKeeper({ control, timers, onResidencyChange: (residency) => told.push(residency) });
   void owner.run();
   await timers.advance(100);
   t.is(told.length, 0);
@@ -255,7 +255,7 @@
   void watch(ensure('w'));
   await timers.advance(100);
   t.is(control.blocked.size, 1);
-  t.is(owner.availability().freeSlots, 0);
+  t.is(owner.slotAvailability().freeSlots, 0);
   t.deepEqual(await ensure('v', { ...URGENCY, patienceMs: 0 }), { replica: 'e', freeSlots: 0, queued: 1 });
   for (const slot of control.slots.values()) slot.running = 0;
   await timers.advance(1000);
@@ -321,13 +321,13 @@
     void ensure(adapter);
     await timers.advance(400);
   }
-  t.true(owner.holdsOlder(`${MODEL}/x`, 2));
+  t.true(owner.hasOlderVersion(`${MODEL}/x`, 2));
   void watch(ensure('x', URGENCY, 2));
   await timers.advance(600);
   const upgrade = control.orders.findIndex(({ version }) => version === 2);
   const room = control.orders.findIndex(({ kind }) => kind === OrderKind.Unload);
   t.true(room >= 0 && room < upgrade);
-  t.false(owner.holdsOlder(`${MODEL}/x`, 2));
+  t.false(owner.hasOlderVersion(`${MODEL}/x`, 2));
 });
 
 test('without authority no order is sent', async (t) => {
@@ -386,7 +386,7 @@
   control.bornAt = 1000;
   const starts: number[] = [];
   const replica = { ...engineEntry('e'), bornAt: 1000 };
-  const owner = makeKeeper({ replica, control, timers, onStart: (bornAt) => starts.push(bornAt) });
+  const owner = makeKeeper({ replica, control, timers, onRestart: (bornAt) => starts.push(bornAt) });
   void owner.run();
   await timers.advance(LEARNT_MS);
   control.bornAt = 2000;
@@ -407,8 +407,8 @@
     replica: { ...engineEntry('e'), bornAt: 1000 },
     control,
     timers,
-    onStart: (bornAt) => starts.push(bornAt),
-    onHoldings: (residency) => told.push(residency),
+    onRestart: (bornAt) => starts.push(bornAt),
+    onResidencyChange: (residency) => told.push(residency),
   });
   void owner.run();
   await timers.advance(100);
--- a/packages/routing/test/orders/loading-adapters.test.ts
+++ b/packages/routing/test/orders/loading-adapters.test.ts
@@ -54,10 +54,10 @@
       },
       timers,
       log,
-      authority: () => token,
+      fencingToken: () => token,
       onFenced: () => undefined,
-      onHoldings: () => undefined,
-      onStart: () => undefined,
+      onResidencyChange: () => undefined,
+      onRestart: () => undefined,
     });
   const want = (owner: EngineOwner, adapter: string): void => {
     owner.ensure({ model: MODEL, adapter, version: undefined }, URGENCY).catch(() => undefined);
--- a/packages/routing/test/orders/simulation.ts
+++ b/packages/routing/test/orders/simulation.ts
@@ -152,7 +152,7 @@
 
   private result(servesAtEnd: boolean): PlayResult {
     const { engine, runs, trace, plan } = this;
-    const { freeSlots: roomAtEnd } = this.present.owner.availability();
+    const { freeSlots: roomAtEnd } = this.present.owner.slotAvailability();
     return { overloads: engine.overloads, runs, servesAtEnd, roomAtEnd, places: plan.places, trace };
   }
 
@@ -192,10 +192,10 @@
         isFenced: plan.isFenced,
         timers,
         log,
-        authority: () => holder.token,
+        fencingToken: () => holder.token,
         onFenced: () => holder.retire(),
-        onHoldings: () => undefined,
-        onStart: () => undefined,
+        onResidencyChange: () => undefined,
+        onRestart: () => undefined,
       });
     const holder = new Holder(way, this.token, makeKeeper);
     void holder.owner.run();
@@ -267,7 +267,7 @@
     this.engine.declare(adapter, version);
     const { owner } = this.present;
     this.timers.after(this.random.between(0, this.plan.lagMs), () => {
-      if (!owner.holdsOlder(`${MODEL}/${adapter}`, version)) return;
+      if (!owner.hasOlderVersion(`${MODEL}/${adapter}`, version)) return;
       owner.ensure({ model: MODEL, adapter, version }, urgency(PATIENCE_MS)).catch(() => undefined);
     });
   }
@@ -299,7 +299,7 @@
     const key = `${MODEL}/${adapter}`;
     timers.after(random.between(0, plan.lagMs), () => {
       running.set(key, (running.get(key) ?? 0) + by);
-      if (by > 0) this.present.owner.use(key, by);
+      if (by > 0) this.present.owner.recordUses(key, by);
       this.present.owner.setRunning(running);
     });
   }
