--- a/packages/routing/test/orders/faulty-link.ts
+++ b/packages/routing/test/orders/faulty-link.ts
@@ -1,4 +1,7 @@
-/** The way of one daemon's orders to an engine, on which orders and answers are held up and lost. */
+/**
+ * Simulated network link between one daemon and an engine, on which orders and responses are delayed and
+ * lost.
+ */
 import type { TimerService } from '@celeryyoke/core';
 import type {
   EngineConnection,
@@ -9,77 +12,79 @@
 } from '@celeryyoke/routing';
 import { OrderOutcome } from '@celeryyoke/routing';
 
-import type { OrderedEngine } from './simulated-engine.js';
+import type { SimulatedEngine } from './simulated-engine.js';
 import type { Random } from './random.js';
 
-/** Time after which a call without an answer is given up, in milliseconds. */
-const CALL_LIMIT_MS = 800;
-/** Longest ordinary time of one way, in milliseconds. */
-const ORDINARY_MS = 3;
-/** Time after which a connection that is not set up is given up, in milliseconds. */
-const CONNECT_LIMIT_MS = 500;
-
-/** What happens to a call. */
-enum Fate {
-  Ordinary,
-  /** No connection: not a byte was sent. */
+/** Time after which a call without a response is abandoned, in milliseconds. */
+const CALL_TIMEOUT_MS = 800;
+/** Longest one-way delay without faults, in milliseconds. */
+const MAX_LATENCY_MS = 3;
+/** Time after which a connection that can't be set up is abandoned, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 500;
+
+/** Fault that affects a call. */
+enum Fault {
+  None,
+  /** The connection can't be set up; nothing was sent. */
   NoConnection,
-  /** The connection is reset under way, before the engine has it. */
+  /** The connection is reset before the engine has received the call. */
   ResetBefore,
-  /** It gets lost, and nothing tells so. */
-  Lost,
-  /** The engine has it; the connection is reset before the answer. */
+  /** The call is lost silently. */
+  CallLost,
+  /** The engine has received the call; the connection is reset before the response arrives. */
   ResetAfter,
-  /** The engine has it; the answer gets lost, and nothing tells so. */
-  AnswerLost,
-  /** The call takes long, but less than it is waited for. */
+  /** The engine has received the call; the response is lost silently. */
+  ResponseLost,
+  /** The call is delayed, but arrives within the call timeout. */
   SlowCall,
-  /** The answer takes long, but less than it is waited for. */
-  SlowAnswer,
+  /** The response is delayed, but arrives within the call timeout. */
+  SlowResponse,
 }
 
-const TROUBLES = [
-  Fate.NoConnection,
-  Fate.ResetBefore,
-  Fate.Lost,
-  Fate.ResetAfter,
-  Fate.AnswerLost,
-  Fate.SlowCall,
-  Fate.SlowAnswer,
+const FAULTS = [
+  Fault.NoConnection,
+  Fault.ResetBefore,
+  Fault.CallLost,
+  Fault.ResetAfter,
+  Fault.ResponseLost,
+  Fault.SlowCall,
+  Fault.SlowResponse,
 ] as const;
 
-/** What the answer to another order may say. */
-const OTHER_ANSWERS = [OrderOutcome.Done, OrderOutcome.Started, OrderOutcome.Busy] as const;
+/** Possible contents of a misattributed response. */
+const MISATTRIBUTED_OUTCOMES = [OrderOutcome.Done, OrderOutcome.Started, OrderOutcome.Busy] as const;
 
-/** Options of a way. */
-export interface WayOptions {
+/** Options of {@link FaultyLink}. */
+export interface FaultyLinkOptions {
   readonly timers: TimerService;
-  readonly engine: OrderedEngine;
+  readonly engine: SimulatedEngine;
   readonly random: Random;
-  /** Share of the calls that something happens to, at this moment. */
-  readonly trouble: () => number;
-  /** Whether the next order gets the answer to another call in place of its own; no connection does so by itself. */
-  readonly isOther: () => boolean;
-  /** Whether the engine answers the next call twice; the second answer comes where the next one is expected. */
-  readonly isTwice: () => boolean;
+  /** Returns the current share of calls affected by a fault. */
+  readonly faultShare: () => number;
+  /**
+   * Returns whether the next order receives the response to another call in place of its own. No real
+   * connection does that by itself.
+   */
+  readonly isNextMisattributed: () => boolean;
+  /**
+   * Returns whether the engine answers the next call twice; the second response takes the place of the next
+   * call's.
+   */
+  readonly isNextDuplicated: () => boolean;
 }
 
-/** What an engine may answer on a connection of its orders. */
-type Answer = OrderOutcome | EngineReport;
+/** Response of an engine on an order connection. */
+type EngineResponse = OrderOutcome | EngineReport;
 
-/** The way. */
-export class Way implements EngineControl {
-  /** Whether the daemon at its beginning has ended: what is under way arrives, answers reach nobody. */
-  hasEnded = false;
+/** Link of one daemon to the engine. */
+export class FaultyLink implements EngineControl {
+  /** Whether the daemon has crashed: calls in transit still arrive, responses are dropped. */
+  hasCrashed = false;
 
-  /**
-   * Makes a way.
-   * @param options - The engine at its end, and what goes wrong.
-   */
-  constructor(readonly options: WayOptions) {}
+  constructor(readonly options: FaultyLinkOptions) {}
 
   connect(_replica: ReplicaEntry, onClosed: () => void): EngineConnection {
-    return new WayConnection(this, onClosed);
+    return new FaultyConnection(this, onClosed);
   }
 
   report(replica: ReplicaEntry): Promise<EngineReport> {
@@ -87,39 +92,42 @@
   }
 }
 
-/** A connection: answers come in their order, whichever call they belong to, and it ends with the engine's start. */
-class WayConnection implements EngineConnection {
+/**
+ * Connection that delivers responses in order, whichever call they belong to, and ends when the engine
+ * restarts.
+ */
+class FaultyConnection implements EngineConnection {
   isOpen = true;
 
-  /** The start that it was set up with; undefined until its first call. */
-  private life: number | undefined;
+  /** Incarnation of the engine that the connection was set up with; undefined until the first call. */
+  private incarnation: number | undefined;
 
-  /** Answers that have been sent and not been read. */
-  private readonly unread: Answer[] = [];
+  /** Responses that have been sent but not read. */
+  private readonly unread: EngineResponse[] = [];
 
-  private turn: Promise<unknown> = Promise.resolve();
+  private lastCall: Promise<unknown> = Promise.resolve();
 
   constructor(
-    private readonly way: Way,
+    private readonly link: FaultyLink,
     private readonly onClosed: () => void,
   ) {}
 
   async order(order: EngineOrder): Promise<OrderOutcome> {
-    const { engine, random, isOther } = this.way.options;
-    const answer = await this.call(() => engine.take(order));
-    if (answer !== undefined && answer !== OrderOutcome.Unreachable && isOther())
-      return random.pick(OTHER_ANSWERS);
-    if (typeof answer === 'string') return answer;
-    // The body of a report is no answer to an order.
+    const { engine, random, isNextMisattributed } = this.link.options;
+    const response = await this.call(() => engine.handleOrder(order));
+    if (response !== undefined && response !== OrderOutcome.Unreachable && isNextMisattributed())
+      return random.pick(MISATTRIBUTED_OUTCOMES);
+    if (typeof response === 'string') return response;
+    // The body of a report is not a valid response to an order.
     this.close();
     return OrderOutcome.Unknown;
   }
 
   async report(): Promise<EngineReport> {
-    const answer = await this.call(() => this.way.options.engine.report());
-    if (typeof answer === 'object') return answer;
+    const response = await this.call(() => this.link.options.engine.report());
+    if (typeof response === 'object') return response;
     this.close();
-    throw new Error('No report.');
+    throw new Error('The response is not a report.');
   }
 
   close(): void {
@@ -128,69 +136,72 @@
     this.onClosed();
   }
 
-  /** Makes a call when the ones before have ended; undefined when there is no answer. */
-  private call(answer: () => Answer): Promise<Answer | undefined> {
-    const answered = this.turn.then(() => this.callNow(answer));
-    this.turn = answered;
-    return answered;
+  /**
+   * Makes a call after the previous ones have ended.
+   * @returns Undefined when there is no response.
+   */
+  private call(response: () => EngineResponse): Promise<EngineResponse | undefined> {
+    const call = this.lastCall.then(() => this.exchange(response));
+    this.lastCall = call;
+    return call;
   }
 
-  private async callNow(answer: () => Answer): Promise<Answer | undefined> {
-    const { engine, timers } = this.way.options;
+  private async exchange(response: () => EngineResponse): Promise<EngineResponse | undefined> {
+    const { engine, timers } = this.link.options;
     if (!this.isOpen) return OrderOutcome.Unreachable;
-    const fate = engine.isDown || this.hasLostEngine ? Fate.NoConnection : this.draw();
-    if (fate === Fate.NoConnection) return this.noConnection();
-    this.life ??= engine.life;
-    await timers.sleep(fate === Fate.SlowCall ? this.long() : this.short());
-    if (fate === Fate.ResetBefore) return this.broken();
-    if (fate === Fate.Lost || this.hasLostEngine) return this.silence();
-    const read = this.pass(answer());
-    if (this.way.hasEnded || fate === Fate.AnswerLost || this.hasLostEngine) return this.silence();
-    await timers.sleep(fate === Fate.SlowAnswer ? this.long() : this.short());
-    return fate === Fate.ResetAfter ? this.broken() : read;
+    const fault = engine.isDown || this.hasEngineEnded ? Fault.NoConnection : this.drawFault();
+    if (fault === Fault.NoConnection) return this.failToConnect();
+    this.incarnation ??= engine.incarnation;
+    await timers.sleep(fault === Fault.SlowCall ? this.longDelay() : this.shortDelay());
+    if (fault === Fault.ResetBefore) return this.reset();
+    if (fault === Fault.CallLost || this.hasEngineEnded) return this.timeOut();
+    const read = this.deliver(response());
+    if (this.link.hasCrashed || fault === Fault.ResponseLost || this.hasEngineEnded) return this.timeOut();
+    await timers.sleep(fault === Fault.SlowResponse ? this.longDelay() : this.shortDelay());
+    return fault === Fault.ResetAfter ? this.reset() : read;
   }
 
-  /** Whether the process that it was set up with has ended. */
-  private get hasLostEngine(): boolean {
-    const { engine } = this.way.options;
-    return engine.isDown || (this.life !== undefined && this.life !== engine.life);
+  /** Whether the engine incarnation that the connection was set up with has ended. */
+  private get hasEngineEnded(): boolean {
+    const { engine } = this.link.options;
+    return engine.isDown || (this.incarnation !== undefined && this.incarnation !== engine.incarnation);
   }
 
-  /** Takes the engine's answer to a call, and hands out the one that is read in its place. */
-  private pass(answer: Answer): Answer {
-    this.unread.push(answer);
+  /** Queues the engine's response to a call and returns the response that is read in its place. */
+  private deliver(response: EngineResponse): EngineResponse {
+    this.unread.push(response);
     const read = this.unread.shift()!;
-    if (this.way.options.isTwice()) this.unread.push(answer);
+    if (this.link.options.isNextDuplicated()) this.unread.push(response);
     return read;
   }
 
-  private broken(): undefined {
+  private reset(): undefined {
     this.close();
   }
 
-  private async noConnection(): Promise<OrderOutcome.Unreachable> {
-    const { random, timers } = this.way.options;
-    await timers.sleep(random.chance(0.5) ? this.short() : CONNECT_LIMIT_MS);
+  private async failToConnect(): Promise<OrderOutcome.Unreachable> {
+    const { random, timers } = this.link.options;
+    await timers.sleep(random.chance(0.5) ? this.shortDelay() : CONNECT_TIMEOUT_MS);
     this.close();
     return OrderOutcome.Unreachable;
   }
 
-  private async silence(): Promise<undefined> {
-    await this.way.options.timers.sleep(CALL_LIMIT_MS);
+  private async timeOut(): Promise<undefined> {
+    await this.link.options.timers.sleep(CALL_TIMEOUT_MS);
     this.close();
   }
 
-  private draw(): Fate {
-    const { random, trouble } = this.way.options;
-    return random.chance(trouble()) ? random.pick(TROUBLES) : Fate.Ordinary;
+  private drawFault(): Fault {
+    const { random, faultShare } = this.link.options;
+    return random.chance(faultShare()) ? random.pick(FAULTS) : Fault.None;
   }
 
-  private short(): number {
-    return this.way.options.random.between(0, ORDINARY_MS);
+  private shortDelay(): number {
+    return this.link.options.random.between(0, MAX_LATENCY_MS);
   }
 
-  /** Both ways together stay below the time for which a call is waited. */
-  private long(): number {
-    return this.way.options.random.between(ORDINARY_MS, CALL_LIMIT_MS - 2 * ORDINARY_MS);
+  /** Draws a long delay. Both directions together stay below the call timeout. */
+  private longDelay(): number {
+    return this.link.options.random.between(MAX_LATENCY_MS, CALL_TIMEOUT_MS - 2 * MAX_LATENCY_MS);
   }
 }
--- a/packages/routing/test/orders/orders.test.ts
+++ b/packages/routing/test/orders/orders.test.ts
@@ -1,175 +1,193 @@
 /**
- * An engine is never ordered beyond its room, whatever happens to owners, ways and the engine itself.
+ * Checks that an engine is never ordered beyond its capacity, whatever happens to owners, connections and the
+ * engine itself.
  *
- * Plays random seeds; by hand for long, and with seeds of one's own:
+ * Runs simulations with random seeds. For a long run with other seeds:
  * `CELERYYOKE_SOAK_SEED=1000 CELERYYOKE_SOAK_PLAYS=5000 npm run soak:orders`.
  */
 import type { ExecutionContext } from 'ava';
 import test from 'ava';
 
-import type { PlayResult } from './simulation.js';
-import { play } from './simulation.js';
-import { PlayKind } from './scenario.js';
-
-/** First seed and number of plays; the environment overrides them. */
-const SEED = Number(process.env.CELERYYOKE_SOAK_SEED ?? 1);
-const PLAYS = Number(process.env.CELERYYOKE_SOAK_PLAYS ?? 120);
-
-/** Longest time for all plays of a long run, in milliseconds. */
-const LIMIT_MS = 3_600_000;
-/** Requests that run in a play on the average; fewer show that little was played. */
-const LEAST_RUNS = 5;
-/** Failed plays whose last orders are printed. */
-const MAX_TRACES = 3;
-
-function faultOf({ overloads, servesAtEnd, roomAtEnd, places }: PlayResult): string | undefined {
-  if (overloads > 0) return 'orders beyond the room';
-  if (!servesAtEnd) return 'does not serve at the end';
-  return roomAtEnd === places ? undefined : `has lost ${places - roomAtEnd} slots`;
+import type { SimulationResult } from './simulation.js';
+import { simulate } from './simulation.js';
+import { ScenarioKind } from './scenario.js';
+
+/** First seed and number of simulations. */
+const FIRST_SEED = Number(process.env.CELERYYOKE_SOAK_SEED ?? 1);
+const SIMULATIONS = Number(process.env.CELERYYOKE_SOAK_PLAYS ?? 120);
+
+/** Timeout for all simulations of a long run, in milliseconds. */
+const TEST_TIMEOUT_MS = 3_600_000;
+/** Mean number of requests per simulation; fewer show that the simulations did not exercise the engine. */
+const MIN_REQUESTS_PER_SIMULATION = 5;
+/** Number of failed simulations whose last orders are printed. */
+const MAX_PRINTED_TRACES = 3;
+
+function failureOf({
+  overloads,
+  servesAtEnd,
+  freeSlotsAtEnd,
+  capacity,
+}: SimulationResult): string | undefined {
+  if (overloads > 0) return 'ordered beyond its capacity';
+  if (!servesAtEnd) return 'serves nothing at the end';
+  return freeSlotsAtEnd === capacity ? undefined : `leaked ${capacity - freeSlotsAtEnd} slots`;
 }
 
-/** Plays the seeds and lists what went wrong. */
-async function playAll(t: ExecutionContext, kind: PlayKind): Promise<string[]> {
-  t.timeout(LIMIT_MS);
-  let runs = 0;
+/** Runs the simulations and returns the failures. */
+async function simulateAll(t: ExecutionContext, kind: ScenarioKind): Promise<string[]> {
+  t.timeout(TEST_TIMEOUT_MS);
+  let requests = 0;
   const failed: string[] = [];
-  for (let seed = SEED; seed < SEED + PLAYS; seed += 1) {
-    const result = await play(String(seed), kind);
-    runs += result.runs;
-    const fault = faultOf(result);
-    if (fault === undefined) continue;
-    failed.push(`${seed} ${fault}`);
-    if (failed.length <= MAX_TRACES) t.log(`seed ${seed}\n${result.trace.join('\n')}`);
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SIMULATIONS; seed += 1) {
+    const result = await simulate(String(seed), kind);
+    requests += result.requests;
+    const failure = failureOf(result);
+    if (failure === undefined) continue;
+    failed.push(`${seed} ${failure}`);
+    if (failed.length <= MAX_PRINTED_TRACES) t.log(`seed ${seed}\n${result.trace.join('\n')}`);
   }
-  t.log(`${PLAYS} plays, ${runs} runs`);
-  t.true(runs > PLAYS * LEAST_RUNS);
+  t.log(`${SIMULATIONS} simulations, ${requests} requests`);
+  t.true(requests > SIMULATIONS * MIN_REQUESTS_PER_SIMULATION);
   return failed;
 }
 
-test('an engine is never ordered beyond its room, and serves when the trouble is over', async (t) => {
-  t.deepEqual(await playAll(t, PlayKind.Plain), []);
+test('an engine is never ordered beyond its capacity, and serves once the faults have ended', async (t) => {
+  t.deepEqual(await simulateAll(t, ScenarioKind.Plain), []);
 });
 
-test('nor is one that takes orders with older tokens, or whose answers get mixed up', async (t) => {
-  t.deepEqual(await playAll(t, PlayKind.Harsh), []);
+test('an engine that accepts older tokens, or whose responses are misattributed, is not ordered beyond its capacity', async (t) => {
+  t.deepEqual(await simulateAll(t, ScenarioKind.Harsh), []);
 });
 
-test('nor is one that answers some calls twice, so that all later answers on the connection come one late', async (t) => {
-  t.deepEqual(await playAll(t, PlayKind.Shifted), []);
+test('an engine that answers some calls twice, which shifts later responses, is not ordered beyond its capacity', async (t) => {
+  t.deepEqual(await simulateAll(t, ScenarioKind.Duplicated), []);
 });
 
-test('nor is one of whose orders some get the answer to another call, while versions are declared', async (t) => {
-  t.deepEqual(await playAll(t, PlayKind.Replaced), []);
+test('an engine whose responses are misattributed while versions are declared is not ordered beyond its capacity', async (t) => {
+  t.deepEqual(await simulateAll(t, ScenarioKind.Misattributed), []);
 });
 
-test('nor is one of whose orders two or three in a row get such answers', async (t) => {
-  t.deepEqual(await playAll(t, PlayKind.ReplacedInRow), []);
+test('an engine with two or three misattributed responses in a row is not ordered beyond its capacity', async (t) => {
+  t.deepEqual(await simulateAll(t, ScenarioKind.MisattributedInRow), []);
 });
 
-test('a load whose adapter another keeper has loaded meanwhile keeps its slot', async (t) => {
-  // Harsh seed 978: the waiting load was refused for want of room, and gave back the slot of an adapter that was in place.
-  t.is(faultOf(await play('978', PlayKind.Harsh)), undefined);
+test('a load whose adapter another owner has loaded meanwhile keeps its slot', async (t) => {
+  // Harsh seed 978: the waiting load was refused for lack of capacity and released the slot of a resident
+  // adapter.
+  t.is(failureOf(await simulate('978', ScenarioKind.Harsh)), undefined);
 });
 
-test('an adapter on its way out counts twice while another version of it is on its way in', async (t) => {
-  // Seed 3320, harsh: its unload was refused and the slot counted once, while a former owner's load of a newer version came in.
-  t.is(faultOf(await play('3320', PlayKind.Harsh)), undefined);
+test('an adapter being unloaded occupies two slots while another version of it is loading', async (t) => {
+  // Harsh seed 3320: its unload was refused and the adapter counted as one slot, while a newer version
+  // ordered by a former owner was loading.
+  t.is(failureOf(await simulate('3320', ScenarioKind.Harsh)), undefined);
 });
 
-test('a load that was ordered right after a report was proved is not ordered again for want of it there', async (t) => {
-  // Harsh seed 31350: the second order could not be sent, and the slot of an adapter on its way was given back.
-  t.is(faultOf(await play('31350', PlayKind.Harsh)), undefined);
+test('a load ordered right after a report was verified is not ordered again because the report lacks it', async (t) => {
+  // Harsh seed 31350: the second order could not be sent, and the slot of an adapter being loaded was
+  // released.
+  t.is(failureOf(await simulate('31350', ScenarioKind.Harsh)), undefined);
 });
 
 /*
- * An engine is ordered beyond its room, and ends with all that it runs. An answer to an order names no order. Two that belong
- * to other calls make up for each other: the load of an adapter that began is answered as done, then its refused unload too,
- * and the owner's count is the engine's again while its table lacks the adapter. The last orders of the play show it: the
- * same count names both, and the engine holds one adapter more after each.
+ * Guards against exceeding the capacity after two misattributed responses. The load of an adapter that
+ * started is answered as done, and so is its refused unload. The owner's sequence number then matches the
+ * engine's again, while its table lacks the adapter. In the trace both orders carry the same sequence number,
+ * and the engine holds one adapter more after each.
  */
-test('two answers to other calls, one after the other, do not make up for each other', async (t) => {
+test('two misattributed responses in a row do not cancel out', async (t) => {
   // Harsh seed 31061.
-  t.is(faultOf(await play('31061', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('31061', ScenarioKind.Harsh)), undefined);
 });
 
 /*
- * An engine without fences is ordered beyond its room. A former owner proves a report; an adapter is listed in place in one
- * version and on its way in another. The slot was followed by a task and kept what that had heard last, so it counted once.
- * The play's last lines show the engine with the adapter twice, and the owner one slot short.
+ * Guards against exceeding the capacity of an engine without fencing. A former owner verifies a report that
+ * lists an adapter as resident in one version and loading in another. A task followed the slot and kept its
+ * earlier state, so the adapter counted as one slot. The end of the trace shows the engine with the adapter
+ * twice, and the owner one slot short.
  */
-test('what a former keeper believes of a version on its way is what the proved report says', async (t) => {
+test('a former owner adopts the state of a loading version from the verified report', async (t) => {
   // Harsh seed 770168.
-  t.is(faultOf(await play('770168', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('770168', ScenarioKind.Harsh)), undefined);
 });
 
-/* An engine is ordered beyond its room: as in seed 31061, with the wrong answers around the proof of a report. */
-test('answers to other calls around a proof do not free a slot', async (t) => {
+/*
+ * Guards against exceeding the capacity as in seed 31061, with the misattributed responses around the
+ * verification of a report.
+ */
+test('misattributed responses around the verification of a report release no slot', async (t) => {
   // Harsh seed 770944.
-  t.is(faultOf(await play('770944', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('770944', ScenarioKind.Harsh)), undefined);
 });
 
 /*
- * Nothing is served at the end, though all trouble is over. A load whose answers were lost took seconds; that was learnt as
- * the usual time, and the first look at each later load was put off by it. The play's last lines show looks up to 4 s apart.
+ * Guards against an engine that serves nothing although all faults have ended. A load whose responses were
+ * lost took seconds; that was recorded as the usual load time and delayed the first poll of each later load.
+ * The end of the trace shows polls up to 4 s apart.
  */
-test('a load that took long for want of answers does not put off the looks at later ones', async (t) => {
+test('a load that took long because responses were lost does not delay polls of later loads', async (t) => {
   // Harsh seed 771274.
-  t.is(faultOf(await play('771274', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('771274', ScenarioKind.Harsh)), undefined);
 });
 
 /*
- * An engine without fences is ordered beyond its room. An unload that waited for its runs has ended, which no count tells, and
- * the proved report still lists the adapter. To order it away is answered as done and does not count on the engine; the owner
- * counted it, and another owner's order made the count fit.
+ * Guards against exceeding the capacity of an engine without fencing. An unload that waited for running
+ * requests has ended, which the engine does not count, and the verified report still lists the adapter.
+ * Another unload is answered as done and not counted by the engine; the owner counted it, and an order of
+ * another owner made the sequence numbers match.
  */
-test('an unload of what may be gone is not counted on where older tokens are taken', async (t) => {
+test('the unload of an adapter that may be gone is not relied on where older tokens are accepted', async (t) => {
   for (const seed of ['40361', '40715', '770401'])
-    t.is(faultOf(await play(seed, PlayKind.Harsh)), undefined, seed);
-  t.is(faultOf(await play('40656', PlayKind.Shifted)), undefined);
+    t.is(failureOf(await simulate(seed, ScenarioKind.Harsh)), undefined, seed);
+  t.is(failureOf(await simulate('40656', ScenarioKind.Duplicated)), undefined);
 });
 
 /*
- * The same by an answer that came one late: it counted a load that the engine had not begun, and another owner's load made
- * the count fit.
+ * The same through a response that was off by one: it counted a load that the engine had not started, and a
+ * load of another owner made the sequence numbers match.
  */
-test('an answer that came one late is not counted on where older tokens are taken', async (t) => {
+test('a response that is off by one is not relied on where older tokens are accepted', async (t) => {
   for (const seed of ['50794', '51369', '770817'])
-    t.is(faultOf(await play(seed, PlayKind.Shifted)), undefined, seed);
+    t.is(failureOf(await simulate(seed, ScenarioKind.Duplicated)), undefined, seed);
 });
 
 /*
- * Nothing is served at the end. A proved report said that an adapter is in place while the task that followed its load still
- * slept; the adapter was ordered away, the task woke up and marked it as in place, and nobody asked whether it had gone.
+ * Guards against an engine that serves nothing at the end. A verified report showed an adapter as resident
+ * while the task that followed its load was still sleeping. The adapter was evicted; the task then marked it
+ * as resident again, and nobody checked whether it was gone.
  */
-test('an adapter whose load is still followed is not ordered away', async (t) => {
+test('an adapter whose load is still followed is not evicted', async (t) => {
   for (const seed of ['770008', '770109', '770264', '770364'])
-    t.is(faultOf(await play(seed, PlayKind.Shifted)), undefined, seed);
+    t.is(failureOf(await simulate(seed, ScenarioKind.Duplicated)), undefined, seed);
 });
 
 /*
- * Open. An engine without fences, two owners at a time, and an answer to another call in place of an order's own: the load of
- * another owner makes up for one that was refused and read as begun. A connection shifts answers, it replaces none.
+ * Known open failure. An engine without fencing, two owners at a time, and a misattributed response: the load
+ * of another owner makes up for one that was refused but read as started. A connection may shift responses,
+ * but does not replace one.
  */
 test('an answer in place of a refusal does not count while another keeper orders too', async (t) => {
   // Harsh seed 51476.
-  t.is(faultOf(await play('51476', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('51476', ScenarioKind.Harsh)), undefined);
 });
 
-/* Open: the same while versions are declared. */
+/* Known open failure: the same while versions are declared. */
 test('an answer in place of a refusal does not count while versions are declared', async (t) => {
-  t.is(faultOf(await play('50541', PlayKind.Replaced)), undefined);
+  t.is(failureOf(await simulate('50541', ScenarioKind.Misattributed)), undefined);
 });
 
-/* Open: two or three answers in a row that belong to other calls, each in place of an order's own. */
+/* Known open failure: two or three misattributed responses in a row. */
 test('up to three answers in a row in place of the orders’ own free no slot', async (t) => {
-  t.is(faultOf(await play('60068', PlayKind.ReplacedInRow)), undefined);
+  t.is(failureOf(await simulate('60068', ScenarioKind.MisattributedInRow)), undefined);
 });
 
 /*
- * Open. An idle engine starts again under its name and says no start; its owner notices with the first order, 9 s later, and
- * then has the connection, the base model and the adapter to wait for: longer than 3 s when the load is slow.
+ * Known open failure. An idle engine restarts under its name without reporting a start. Its owner notices
+ * with the first order, 9 s later, and then has to wait for the connection, the base model and the adapter:
+ * longer than 3 s when the load is slow.
  */
 test('an idle engine that starts again without a word is noticed before the next order', async (t) => {
   // Harsh seed 770993.
-  t.is(faultOf(await play('770993', PlayKind.Harsh)), undefined);
+  t.is(failureOf(await simulate('770993', ScenarioKind.Harsh)), undefined);
 });
--- a/packages/routing/test/orders/random.ts
+++ b/packages/routing/test/orders/random.ts
@@ -4,21 +4,17 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Draws. */
+/** Seeded generator of random draws. */
 export interface Random {
-  /** A number from `low` up to `high`. */
+  /** Returns a number in the range [low, high). */
   between(low: number, high: number): number;
-  /** Whether something with this probability happens. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean;
-  /** One of the items. */
+  /** Returns one of the items. */
   pick<T>(items: readonly T[]): T;
 }
 
-/**
- * Makes a seeded source.
- * @param seed - The same seed gives the same draws.
- * @returns The source.
- */
+/** Creates a generator; the same seed gives the same draws. */
 export function createRandom(seed: string): Random {
   const generator = xoroshiro128plus(hash32(seed));
   return {
--- a/packages/routing/test/orders/scenario.ts
+++ b/packages/routing/test/orders/scenario.ts
@@ -1,109 +1,117 @@
-/** What happens in a play of orders to an engine, drawn from its seed. */
+/** Draws the parameters of a simulation from its seed. */
 import type { Random } from './random.js';
 
-/** Share of the engines that refuse older tokens. */
+/** Share of the engines that reject older tokens. */
 const FENCED_SHARE = 0.7;
-/** Mean time between events that do not come. */
+/** Mean interval of events that do not occur. */
 const NEVER_MS = 1e9;
 
-/** What a play adds to the ordinary trouble. */
-export enum PlayKind {
+/** Kinds of faults in addition to lost and delayed calls. */
+export enum ScenarioKind {
   Plain = 'plain',
-  /** Engines that take orders with older tokens, and answers to other calls in place of an order's own. */
+  /** Some engines accept orders with older tokens; some responses belong to other calls. */
   Harsh = 'harsh',
-  /** The same engines, which also start again, and answers that are sent twice and put all later ones off by one. */
-  Shifted = 'shifted',
-  /** The same engines, versions, and answers to other calls in place of an order's own. */
-  Replaced = 'replaced',
-  /** The same with two or three such answers in a row. */
-  ReplacedInRow = 'replacedInRow',
+  /**
+   * Some engines accept older tokens; some responses are duplicated, which shifts all later ones on the
+   * connection by one. Restarts and new versions occur as in the plain scenario.
+   */
+  Duplicated = 'duplicated',
+  /**
+   * Some engines accept older tokens; some responses belong to other calls, also while versions are declared.
+   */
+  Misattributed = 'misattributed',
+  /** The same with two or three misattributed responses in a row. */
+  MisattributedInRow = 'misattributedInRow',
 }
 
-/** What a seed draws for a play; times are in milliseconds, those between events are means. */
-export interface Plan {
-  /** Whether the engine refuses older tokens. */
+/** Parameters of a simulation. Times are in milliseconds; intervals are means. */
+export interface Scenario {
+  /** Whether the engine rejects older tokens. */
   readonly isFenced: boolean;
-  /** Share of the orders that get the answer to another call. */
-  readonly otherAnswers: number;
-  /** How many orders in a row get one, at most. */
-  readonly inRow: number;
+  /** Share of the orders that receive the response to another call. */
+  readonly misattributedShare: number;
+  /** Longest sequence of misattributed responses. */
+  readonly maxMisattributedInRow: number;
   /** Share of the calls that are answered twice. */
-  readonly answeredTwice: number;
-  readonly places: number;
-  /** Adapters that requests ask for. */
+  readonly duplicateShare: number;
+  readonly capacity: number;
+  /** Number of adapters that are requested. */
   readonly adapters: number;
-  /** Shortest and longest load. */
+  /** Shortest and longest load time. */
   readonly loadMs: readonly [number, number];
-  readonly betweenRequestsMs: number;
-  readonly betweenKeepersMs: number;
-  readonly betweenRestartsMs: number;
-  readonly betweenVersionsMs: number;
-  /** Longest time until a former owner hears of its successor. */
-  readonly deafMs: number;
-  /** Longest time until an owner hears of a request that runs, or of a version. */
-  readonly lagMs: number;
-  /** Share of the calls that something happens to. */
-  readonly trouble: number;
+  readonly requestIntervalMs: number;
+  readonly ownerChangeIntervalMs: number;
+  readonly restartIntervalMs: number;
+  readonly versionIntervalMs: number;
+  /** Longest time until a previous owner learns of its successor. */
+  readonly maxOwnerOverlapMs: number;
+  /** Longest time until an owner learns of a running request or a new version. */
+  readonly maxReportLagMs: number;
+  /** Share of the calls affected by a connection fault. */
+  readonly faultShare: number;
 }
 
 /**
- * What may happen besides: engines that take orders with older tokens, and answers that belong to other calls. Such engines
- * do not start again here, and no versions are declared where answers get mixed up: the kept seeds were played so.
+ * Lets some engines accept older tokens, and misattributes some responses. Engines that accept older tokens
+ * do not restart here, and no versions are declared where responses are misattributed: the recorded seeds
+ * were run that way.
  */
-function harshen(plan: Plan, random: Random): Plan {
+function addHarshFaults(scenario: Scenario, random: Random): Scenario {
   const isFenced = random.chance(FENCED_SHARE);
-  const betweenRestartsMs = isFenced ? plan.betweenRestartsMs : NEVER_MS;
-  const otherAnswers = random.pick([0, 0.01, 0.05]);
-  const betweenVersionsMs = otherAnswers === 0 ? plan.betweenVersionsMs : NEVER_MS;
-  return { ...plan, isFenced, betweenRestartsMs, betweenVersionsMs, otherAnswers };
+  const restartIntervalMs = isFenced ? scenario.restartIntervalMs : NEVER_MS;
+  const misattributedShare = random.pick([0, 0.01, 0.05]);
+  const versionIntervalMs = misattributedShare === 0 ? scenario.versionIntervalMs : NEVER_MS;
+  return {
+    ...scenario,
+    isFenced,
+    restartIntervalMs,
+    versionIntervalMs,
+    misattributedShare,
+  };
 }
 
-/** What each kind of play changes in a plan. */
-export const KINDS: Readonly<Record<PlayKind, (plan: Plan, random: Random) => Plan>> = {
-  [PlayKind.Plain]: (plan) => plan,
-  [PlayKind.Harsh]: harshen,
-  [PlayKind.Shifted]: (plan, random) => ({
-    ...plan,
+/** Changes that each kind makes to the plain scenario. */
+export const SCENARIOS: Readonly<Record<ScenarioKind, (scenario: Scenario, random: Random) => Scenario>> = {
+  [ScenarioKind.Plain]: (scenario) => scenario,
+  [ScenarioKind.Harsh]: addHarshFaults,
+  [ScenarioKind.Duplicated]: (scenario, random) => ({
+    ...scenario,
     isFenced: random.chance(FENCED_SHARE),
-    answeredTwice: random.pick([0.01, 0.05, 0.2]),
+    duplicateShare: random.pick([0.01, 0.05, 0.2]),
   }),
-  [PlayKind.Replaced]: (plan, random) => ({
-    ...plan,
+  [ScenarioKind.Misattributed]: (scenario, random) => ({
+    ...scenario,
     isFenced: random.chance(FENCED_SHARE),
-    otherAnswers: 0.05,
+    misattributedShare: 0.05,
   }),
-  [PlayKind.ReplacedInRow]: (plan, random) => ({
-    ...plan,
+  [ScenarioKind.MisattributedInRow]: (scenario, random) => ({
+    ...scenario,
     isFenced: random.chance(FENCED_SHARE),
-    otherAnswers: 0.05,
-    inRow: 3,
+    misattributedShare: 0.05,
+    maxMisattributedInRow: 3,
   }),
 };
 
-/**
- * Draws what happens on an engine that checks tokens and on connections whose answers are those to their calls.
- * @param random - Draws.
- * @returns The plan of a plain play.
- */
-export function drawPlan(random: Random): Plan {
+/** Draws a plain scenario: the engine checks tokens and responses always belong to their calls. */
+export function drawScenario(random: Random): Scenario {
   return {
     isFenced: true,
-    otherAnswers: 0,
-    inRow: 1,
-    answeredTwice: 0,
-    places: random.pick([3, 5, 8]),
+    misattributedShare: 0,
+    maxMisattributedInRow: 1,
+    duplicateShare: 0,
+    capacity: random.pick([3, 5, 8]),
     adapters: random.pick([9, 14, 30]),
     loadMs: random.pick([
       [20, 300],
       [200, 1200],
       [25, 2500],
     ] as const),
-    betweenRequestsMs: random.pick([15, 40, 90]),
-    betweenKeepersMs: random.pick([400, 1200, 5000]),
-    betweenRestartsMs: random.pick([3000, 8000, NEVER_MS]),
-    betweenVersionsMs: random.pick([500, 4000, NEVER_MS]),
-    deafMs: random.pick([3, 300, 1500]),
-    lagMs: random.pick([2, 60, 260]),
-    trouble: random.pick([0, 0.02, 0.1, 0.3]),
+    requestIntervalMs: random.pick([15, 40, 90]),
+    ownerChangeIntervalMs: random.pick([400, 1200, 5000]),
+    restartIntervalMs: random.pick([3000, 8000, NEVER_MS]),
+    versionIntervalMs: random.pick([500, 4000, NEVER_MS]),
+    maxOwnerOverlapMs: random.pick([3, 300, 1500]),
+    maxReportLagMs: random.pick([2, 60, 260]),
+    faultShare: random.pick([0, 0.02, 0.1, 0.3]),
   };
 }
--- a/packages/routing/test/orders/simulated-engine.ts
+++ b/packages/routing/test/orders/simulated-engine.ts
@@ -1,10 +1,11 @@
 /**
- * A stand-in for an engine that takes orders, as strict as the engines' protocol, and that ends when it is ordered beyond
- * its room.
+ * Simulated engine that follows the engine protocol strictly and crashes when it is ordered beyond its
+ * capacity.
  *
- * Where the protocol leaves the order of its checks open, it does what engines were seen to do: the fencing token first, then
- * a load that is on its way already, then the number of orders, then an unload that waits for its runs. Only an order that is
- * answered as accepted or as done raises the fence, and only one that begins something counts.
+ * Where the protocol leaves the order of checks open, the simulation does what real engines were observed to
+ * do. It checks the fencing token first, then whether the load is already in progress, then the sequence
+ * number, then whether an unload waits for requests. Only an order answered as started or done raises the
+ * highest token, and only an order that has an effect is counted.
  */
 import type { TimerService } from '@celeryyoke/core';
 import type { EngineOrder, EngineReport } from '@celeryyoke/routing';
@@ -12,175 +13,173 @@
 
 import { MODEL } from '../fakes.js';
 
-/** Adapters that an engine takes in at once. */
-const MAX_COMING = 4;
-/** Age of what a report says, in milliseconds. */
+/** Adapters that an engine loads concurrently. */
+const MAX_CONCURRENT_LOADS = 4;
+/** Age of the contents of a report, in milliseconds. */
 const REPORT_LAG_MS = 200;
-/** Time from the end of an engine until it is back, in milliseconds. */
-const DOWN_MS = 300;
-/** Time of a load of the base model, in milliseconds. */
+/** Time that an engine needs to restart, in milliseconds. */
+const RESTART_MS = 300;
+/** Time of a base model load, in milliseconds. */
 const MODEL_LOAD_MS = 400;
 
-/** What a request to run on an adapter is answered. */
-export enum RunAnswer {
-  Runs = 'runs',
-  /** Refused as the adapter is not in place; it has not run. */
-  NotHeld = 'notHeld',
-  /** Refused as an order concerns the adapter; it has not run. */
-  Ordered = 'ordered',
-  /** The engine does not answer. */
+/** Result of starting a request on an adapter. */
+export enum RequestResult {
+  Started = 'started',
+  /** Rejected because the adapter is not resident; the request has not run. */
+  NotResident = 'notResident',
+  /** Rejected because an order for the adapter is pending; the request has not run. */
+  OrderPending = 'orderPending',
+  /** The engine does not respond. */
   Silent = 'silent',
 }
 
-/** An adapter in place. */
-interface Held {
+/** State of a resident adapter. */
+interface ResidentAdapter {
   readonly version: number;
   running: number;
 }
 
-/** Options of the engine. */
-export interface OrderedEngineOptions {
+/** Options of {@link SimulatedEngine}. */
+export interface SimulatedEngineOptions {
   readonly timers: TimerService;
-  /** Adapters for which there is room, those on their way included. */
-  readonly places: number;
-  /** Whether it refuses an order whose token is lower than one that it has seen; not every engine does. */
+  /** Adapters that the engine can hold, including those being loaded. */
+  readonly capacity: number;
+  /** Whether the engine rejects orders with older tokens; not every engine does. Default: true. */
   readonly isFenced?: boolean;
-  /** Draws the time of the next load of an adapter, in milliseconds. */
+  /** Draws the time of the next adapter load, in milliseconds. */
   readonly loadMs: () => number;
-  /** Told what happens on it, for the trace of a play that fails. */
+  /** Called with each event, for the trace of a failed simulation. */
   readonly onEvent?: (text: string) => void;
 }
 
-/** The engine. */
-export class OrderedEngine {
-  /** Times it was ordered beyond its room; each one ends it. */
+/** Simulated engine that accepts orders, runs requests and reports its state with a delay. */
+export class SimulatedEngine {
+  /** Number of times the engine was ordered beyond its capacity; each one crashes it. */
   overloads = 0;
 
-  /** Whether it answers at all. */
+  /** Whether the engine is unreachable. */
   isDown = false;
 
-  /** Start of this life: what was set off in an earlier one has no effect. */
-  life = 0;
+  /** Number of restarts; scheduled changes of an earlier incarnation have no effect. */
+  incarnation = 0;
 
   private sequence = 0;
 
-  private fence = 0;
+  private highestToken = 0;
 
   private hasModel = true;
 
-  private isModelComing = false;
+  private isModelLoading = false;
 
-  private held = new Map<string, Held>();
+  private resident = new Map<string, ResidentAdapter>();
 
-  /** Adapters on their way, and the version that comes. */
-  private coming = new Map<string, number>();
+  /** Adapters being loaded, with their version. */
+  private loading = new Map<string, number>();
 
-  /** An adapter that was ordered away and waits for its runs to end. */
-  private leaving: string | undefined;
+  /** Adapter whose unload waits for its running requests to end. */
+  private unloading: string | undefined;
 
-  /** Newest versions that were declared; 1 where none was. */
-  private readonly newest = new Map<string, number>();
+  /** Newest declared versions; 1 where none has been declared. */
+  private readonly newestVersions = new Map<string, number>();
 
   private readonly reports: { readonly at: number; readonly report: EngineReport }[] = [];
 
-  /**
-   * Makes an engine with its base model in place.
-   * @param options - Time, room and how long loads take.
-   */
-  constructor(private readonly options: OrderedEngineOptions) {
-    this.changed();
+  /** Creates an engine whose base model is resident. */
+  constructor(private readonly options: SimulatedEngineOptions) {
+    this.recordReport();
   }
 
-  /** Adapters that take up room. */
+  /** Number of adapters that use capacity. */
   get occupied(): number {
-    return this.held.size + this.coming.size;
+    return this.resident.size + this.loading.size;
   }
 
-  /** Names of the adapters in place. */
-  names(): string[] {
-    return [...this.held.keys()];
+  /** Returns the names of the resident adapters. */
+  residentAdapters(): string[] {
+    return [...this.resident.keys()];
   }
 
   /** Declares a newer version of an adapter. */
-  declare(adapter: string, version: number): void {
-    this.newest.set(adapter, Math.max(version, this.newest.get(adapter) ?? 1));
+  declareVersion(adapter: string, version: number): void {
+    this.newestVersions.set(adapter, Math.max(version, this.newestVersions.get(adapter) ?? 1));
   }
 
-  /** Newest version of an adapter. */
-  newestOf(adapter: string): number {
-    return this.newest.get(adapter) ?? 1;
+  newestVersionOf(adapter: string): number {
+    return this.newestVersions.get(adapter) ?? 1;
   }
 
-  /** Takes an order and answers it. */
-  take(order: EngineOrder): OrderOutcome {
+  /** Handles an order and returns the response. */
+  handleOrder(order: EngineOrder): OrderOutcome {
     const { kind, adapter, token, expected } = order;
-    if (token < this.fence && this.options.isFenced !== false) return OrderOutcome.Fenced;
-    const isComing = kind === OrderKind.Load && adapter !== undefined && this.coming.has(adapter);
-    const isNumberWrong = expected !== undefined && expected !== this.sequence;
-    if (!isComing && (isNumberWrong || this.isAtAnotherOrder(order))) return OrderOutcome.Busy;
-    const outcome = this.carryOut(order);
-    if (outcome === OrderOutcome.Done || outcome === OrderOutcome.Started) this.fence = token;
+    if (token < this.highestToken && this.options.isFenced !== false) return OrderOutcome.Fenced;
+    const isLoading = kind === OrderKind.Load && adapter !== undefined && this.loading.has(adapter);
+    const isSequenceWrong = expected !== undefined && expected !== this.sequence;
+    if (!isLoading && (isSequenceWrong || this.isBusyFor(order))) return OrderOutcome.Busy;
+    const outcome = this.execute(order);
+    if (outcome === OrderOutcome.Done || outcome === OrderOutcome.Started) this.highestToken = token;
     return outcome;
   }
 
-  /** What it says of itself, as of some time ago. */
+  /** Returns the report as of {@link REPORT_LAG_MS} ago. */
   report(): EngineReport {
     const at = this.options.timers.now() - REPORT_LAG_MS;
     while (this.reports.length > 1 && this.reports[1]!.at <= at) this.reports.shift();
     return this.reports[0]!.report;
   }
 
-  /** Begins a request on an adapter. */
-  begin(adapter: string): RunAnswer {
-    if (this.isDown) return RunAnswer.Silent;
-    if (this.leaving === adapter) return RunAnswer.Ordered;
-    const held = this.held.get(adapter);
-    if (held === undefined) return RunAnswer.NotHeld;
-    if (this.coming.has(adapter)) return RunAnswer.Ordered;
-    held.running += 1;
-    return RunAnswer.Runs;
+  /** Starts a request on an adapter. */
+  startRequest(adapter: string): RequestResult {
+    if (this.isDown) return RequestResult.Silent;
+    if (this.unloading === adapter) return RequestResult.OrderPending;
+    const resident = this.resident.get(adapter);
+    if (resident === undefined) return RequestResult.NotResident;
+    if (this.loading.has(adapter)) return RequestResult.OrderPending;
+    resident.running += 1;
+    return RequestResult.Started;
   }
 
   /** Ends a request on an adapter. */
-  end(adapter: string): void {
-    const held = this.held.get(adapter);
-    if (held === undefined || held.running === 0) return;
-    held.running -= 1;
-    if (held.running === 0 && this.leaving === adapter) {
-      this.tell(`${adapter} is gone with its last run`);
-      this.leaving = undefined;
-      this.held.delete(adapter);
+  endRequest(adapter: string): void {
+    const resident = this.resident.get(adapter);
+    if (resident === undefined || resident.running === 0) return;
+    resident.running -= 1;
+    if (resident.running === 0 && this.unloading === adapter) {
+      this.trace(`unloaded ${adapter} after its last request`);
+      this.unloading = undefined;
+      this.resident.delete(adapter);
     }
-    this.changed();
+    this.recordReport();
   }
 
-  /** Ends, and starts again under its name: empty, and with no memory of orders and tokens. */
+  /**
+   * Restarts the engine under the same name. It loses all state, including sequence number and highest token.
+   */
   restart(): void {
-    this.tell('starts again');
-    this.life += 1;
+    this.trace('restarts');
+    this.incarnation += 1;
     this.isDown = true;
     this.sequence = 0;
-    this.fence = 0;
+    this.highestToken = 0;
     this.hasModel = false;
-    this.isModelComing = false;
-    this.leaving = undefined;
-    this.held = new Map();
-    this.coming = new Map();
+    this.isModelLoading = false;
+    this.unloading = undefined;
+    this.resident = new Map();
+    this.loading = new Map();
     this.reports.length = 0;
-    this.changed();
-    const { life } = this;
-    this.options.timers.after(DOWN_MS, () => {
-      if (life === this.life) this.isDown = false;
+    this.recordReport();
+    const { incarnation } = this;
+    this.options.timers.after(RESTART_MS, () => {
+      if (incarnation === this.incarnation) this.isDown = false;
     });
   }
 
-  private isAtAnotherOrder({ kind, adapter }: EngineOrder): boolean {
-    if (this.isModelComing) return adapter !== undefined || kind === OrderKind.Unload;
-    if (this.leaving === undefined) return false;
-    return kind === OrderKind.Load || adapter !== this.leaving;
+  private isBusyFor({ kind, adapter }: EngineOrder): boolean {
+    if (this.isModelLoading) return adapter !== undefined || kind === OrderKind.Unload;
+    if (this.unloading === undefined) return false;
+    return kind === OrderKind.Load || adapter !== this.unloading;
   }
 
-  private carryOut({ kind, adapter, version, holder }: EngineOrder): OrderOutcome {
+  private execute({ kind, adapter, version, holder }: EngineOrder): OrderOutcome {
     if (adapter === undefined) return this.loadModel();
     if (!this.hasModel) return OrderOutcome.Misdirected;
     return kind === OrderKind.Load ? this.load(adapter, version, holder) : this.unload(adapter);
@@ -188,82 +187,88 @@
 
   private loadModel(): OrderOutcome {
     if (this.hasModel) return OrderOutcome.Done;
-    if (this.isModelComing) return OrderOutcome.Started;
+    if (this.isModelLoading) return OrderOutcome.Started;
     this.sequence += 1;
-    this.isModelComing = true;
-    this.later(MODEL_LOAD_MS, () => {
-      this.isModelComing = false;
+    this.isModelLoading = true;
+    this.schedule(MODEL_LOAD_MS, () => {
+      this.isModelLoading = false;
       this.hasModel = true;
     });
     return OrderOutcome.Started;
   }
 
-  private load(adapter: string, asked: number | undefined, holder: string): OrderOutcome {
-    const version = asked ?? this.newestOf(adapter);
-    if (version > this.newestOf(adapter)) return OrderOutcome.Refused;
-    if (this.coming.has(adapter)) return OrderOutcome.Started;
-    const held = this.held.get(adapter);
-    if (held !== undefined && held.version >= version) return OrderOutcome.Done;
-    if (this.coming.size >= MAX_COMING) return OrderOutcome.Busy;
-    if (this.occupied >= this.options.places) {
-      this.tell(`ordered beyond its room by ${holder} with ${adapter}`);
+  private load(adapter: string, requestedVersion: number | undefined, holder: string): OrderOutcome {
+    const version = requestedVersion ?? this.newestVersionOf(adapter);
+    if (version > this.newestVersionOf(adapter)) return OrderOutcome.Refused;
+    if (this.loading.has(adapter)) return OrderOutcome.Started;
+    const resident = this.resident.get(adapter);
+    if (resident !== undefined && resident.version >= version) return OrderOutcome.Done;
+    if (this.loading.size >= MAX_CONCURRENT_LOADS) return OrderOutcome.Busy;
+    if (this.occupied >= this.options.capacity) {
+      this.trace(`ordered beyond its capacity by ${holder} with ${adapter}`);
       this.overloads += 1;
       this.restart();
       return OrderOutcome.Unknown;
     }
     this.sequence += 1;
-    this.coming.set(adapter, version);
-    this.later(this.options.loadMs(), () => this.arrive(adapter, version));
+    this.loading.set(adapter, version);
+    this.schedule(this.options.loadMs(), () => this.finishLoad(adapter, version));
     return OrderOutcome.Started;
   }
 
-  /** A newer version takes the place of the older one when that one's runs have ended. */
-  private arrive(adapter: string, version: number): void {
-    if ((this.held.get(adapter)?.running ?? 0) > 0) {
-      this.later(1, () => this.arrive(adapter, version));
+  /**
+   * Completes a load; a newer version replaces the older one only when the requests on the older one have
+   * ended.
+   */
+  private finishLoad(adapter: string, version: number): void {
+    if ((this.resident.get(adapter)?.running ?? 0) > 0) {
+      this.schedule(1, () => this.finishLoad(adapter, version));
       return;
     }
-    this.tell(`${adapter}@${version} is in place`);
-    this.coming.delete(adapter);
-    this.held.set(adapter, { version, running: 0 });
+    this.trace(`${adapter}@${version} is resident`);
+    this.loading.delete(adapter);
+    this.resident.set(adapter, { version, running: 0 });
   }
 
-  /** One that is on its way is not there yet: there is nothing to unload, and it arrives all the same. */
+  /**
+   * Unloads an adapter. One that is still being loaded can't be unloaded: the order is answered as done, and
+   * the adapter becomes resident all the same.
+   */
   private unload(adapter: string): OrderOutcome {
-    const held = this.held.get(adapter);
-    if (held === undefined) return OrderOutcome.Done;
-    if (this.leaving === adapter) return OrderOutcome.Started;
+    const resident = this.resident.get(adapter);
+    if (resident === undefined) return OrderOutcome.Done;
+    if (this.unloading === adapter) return OrderOutcome.Started;
     this.sequence += 1;
-    if (held.running > 0) {
-      this.leaving = adapter;
-      this.changed();
+    if (resident.running > 0) {
+      this.unloading = adapter;
+      this.recordReport();
       return OrderOutcome.Started;
     }
-    this.held.delete(adapter);
-    this.changed();
+    this.resident.delete(adapter);
+    this.recordReport();
     return OrderOutcome.Done;
   }
 
-  private later(ms: number, change: () => void): void {
-    const { life } = this;
-    this.changed();
+  private schedule(ms: number, change: () => void): void {
+    const { incarnation } = this;
+    this.recordReport();
     this.options.timers.after(ms, () => {
-      if (life !== this.life) return;
+      if (incarnation !== this.incarnation) return;
       change();
-      this.changed();
+      this.recordReport();
     });
   }
 
-  private tell(text: string): void {
+  private trace(text: string): void {
     this.options.onEvent?.(
-      `${text}; holds ${[...this.held.keys()].join(' ')}, coming ${[...this.coming.keys()].join(' ')}`,
+      `${text}; holds ${[...this.resident.keys()].join(' ')}, loading ${[...this.loading.keys()].join(' ')}`,
     );
   }
 
-  /** Notes what reports will say in a while. */
-  private changed(): void {
-    const adapters = [...this.held].map(([name, { version }]) => ({ name, version }));
-    const loading = [...this.coming].map(([adapter, version]) => ({ model: MODEL, adapter, version }));
+  /** Records the current state for later reports. */
+  private recordReport(): void {
+    const adapters = [...this.resident].map(([name, { version }]) => ({ name, version }));
+    const loading = [...this.loading].map(([adapter, version]) => ({ model: MODEL, adapter, version }));
     const report: EngineReport = {
       bornAt: undefined,
       sequence: this.sequence,
--- a/packages/routing/test/orders/simulation.ts
+++ b/packages/routing/test/orders/simulation.ts
@@ -1,8 +1,9 @@
 /**
- * Plays an engine under random demand, owners that follow one another, and trouble on the ways, on a virtual clock.
+ * Simulates an engine under random demand, with changing owners and faulty connections, on a virtual clock.
  *
- * A seed names the whole play: the engine's room, how long loads take, when owners change and how late the former one hears
- * of it, which calls get lost, when the engine starts again and which versions are declared.
+ * The seed determines the whole simulation: the engine's capacity, load times, when owners change and how
+ * late the previous one notices, which calls are lost, when the engine restarts and which versions are
+ * declared.
  */
 import type { ManualTimerService } from '@celeryyoke/core';
 import { createManualTimers } from '@celeryyoke/core';
@@ -10,311 +11,339 @@
 import { EngineOwner } from '@celeryyoke/routing';
 
 import { engineEntry, log, MODEL } from '../fakes.js';
-import { OrderedEngine, RunAnswer } from './simulated-engine.js';
-import type { Plan } from './scenario.js';
-import { drawPlan, KINDS, PlayKind } from './scenario.js';
+import { SimulatedEngine, RequestResult } from './simulated-engine.js';
+import type { Scenario } from './scenario.js';
+import { drawScenario, SCENARIOS, ScenarioKind } from './scenario.js';
 import type { Random } from './random.js';
 import { createRandom } from './random.js';
-import { Way } from './faulty-link.js';
+import { FaultyLink } from './faulty-link.js';
 
-/** Time for which trouble goes on, and then the time to settle before the last look, in milliseconds. */
-const TROUBLE_MS = 12_000;
+/** Duration of the phase with faults, and of the fault-free phase before the final check, in milliseconds. */
+const FAULT_PHASE_MS = 12_000;
 const SETTLE_MS = 9000;
 /** Longest wait of a request for its adapter, in milliseconds. */
-const PATIENCE_MS = 800;
-/** Longest time until a load that nothing stands against is done, in milliseconds. */
-const CALM_LIMIT_MS = 3000;
-/** Share of the changes at which the former owner's process has ended. */
-const ENDED_SHARE = 0.3;
-/** Time after which a caller asks again, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 800;
+/** Longest time for a load to finish when there are no faults, in milliseconds. */
+const FINAL_LOAD_TIMEOUT_MS = 3000;
+/** Share of the owner changes at which the previous owner's process crashes. */
+const CRASH_SHARE = 0.3;
+/** Delay before a caller tries again, in milliseconds. */
 const RETRY_MS = 100;
-/** Stands for an answer to a caller that is refused. */
+/** Result for a caller that was refused. */
 const REFUSED = 'refused';
 const TOKEN_STEP = 4096;
-/** Lines kept for a play that fails. */
-const MAX_TRACE = 80;
+/** Number of trace lines kept for a failed simulation. */
+const MAX_TRACE_LINES = 80;
 
-/** What a play shows. */
-export interface PlayResult {
-  /** Times the engine was ordered beyond its room. */
+/** Result of one simulation. */
+export interface SimulationResult {
+  /** Number of times the engine was ordered beyond its capacity. */
   readonly overloads: number;
-  /** Requests that ran, so that a play in which nothing happens is noticed. */
-  readonly runs: number;
-  /** Whether an adapter can be had at the end, when nothing goes wrong any more. */
+  /** Requests that ran, which shows that the simulation exercised the engine. */
+  readonly requests: number;
+  /** Whether an adapter can be loaded at the end, when there are no faults any more. */
   readonly servesAtEnd: boolean;
-  /** Slots that the last owner takes for free or evictable at the end, when nothing runs; less than all is a leak. */
-  readonly roomAtEnd: number;
-  readonly places: number;
-  /** Last orders before the first overload, or of the whole play. */
+  /**
+   * Free or evictable slots at the end according to the last owner, when no request runs; fewer than the
+   * capacity means that slots leaked.
+   */
+  readonly freeSlotsAtEnd: number;
+  readonly capacity: number;
+  /** Last orders before the first overload, or of the whole simulation. */
   readonly trace: readonly string[];
 }
 
-/** One daemon that keeps, or kept, the engine. */
-class Holder {
-  /** Undefined when it may give no orders. */
+/** A daemon that owns, or has owned, the engine. */
+class SimulatedDaemon {
+  /** Fencing token; undefined when the daemon must not send orders. */
   token: number | undefined;
 
   readonly owner: EngineOwner;
 
   constructor(
-    readonly way: Way,
+    readonly link: FaultyLink,
     token: number,
-    makeKeeper: (holder: Holder) => EngineOwner,
+    createOwner: (daemon: SimulatedDaemon) => EngineOwner,
   ) {
     this.token = token;
-    this.owner = makeKeeper(this);
+    this.owner = createOwner(this);
   }
 
-  /** Hears that another daemon keeps the engine. */
-  retire(): void {
+  /** Handles the loss of the lease to another daemon. */
+  loseLease(): void {
     this.token = undefined;
     this.owner.stop();
   }
 
-  /** Ends as a process does; what it has sent is still under way. */
-  end(): void {
-    this.way.hasEnded = true;
-    this.retire();
+  /** Crashes the process; what it has sent is still delivered. */
+  crash(): void {
+    this.link.hasCrashed = true;
+    this.loseLease();
   }
 }
 
-/** One play. */
-class Play {
+/** One run of the simulation. */
+class Simulation {
   private readonly timers: ManualTimerService = createManualTimers();
 
   private readonly random: Random;
 
-  /** Draws that leave those of the plain play as they are. */
-  private readonly others: Random;
+  /**
+   * Separate generator for additional faults, so that they don't change the draws of the plain scenario. Its
+   * seed suffix must not change either, or recorded seeds would no longer reproduce.
+   */
+  private readonly faultRandom: Random;
 
-  private readonly plan: Plan;
+  private readonly scenario: Scenario;
 
-  private readonly engine: OrderedEngine;
+  private readonly engine: SimulatedEngine;
 
   private readonly running = new Map<string, number>();
 
   private readonly trace: string[] = [];
 
-  private present: Holder;
+  private currentDaemon: SimulatedDaemon;
 
-  private holders = 0;
+  private daemonCount = 0;
 
   private token = TOKEN_STEP;
 
-  private runs = 0;
+  private requests = 0;
 
-  private isCalm = false;
+  private isFaultFree = false;
 
-  /** Orders that still get the answers to other calls. */
-  private othersLeft = 0;
+  /** Number of following orders that still receive misattributed responses. */
+  private misattributedLeft = 0;
 
   private readonly replica: ReplicaEntry = engineEntry('e');
 
   private readonly spec: EngineSpec;
 
-  constructor(seed: string, kind: PlayKind) {
+  constructor(seed: string, kind: ScenarioKind) {
     this.random = createRandom(seed);
-    const plan = drawPlan(this.random);
-    this.others = createRandom(`${seed} others`);
-    this.plan = KINDS[kind](plan, this.others);
-    const { isFenced, places, loadMs } = this.plan;
+    const scenario = drawScenario(this.random);
+    this.faultRandom = createRandom(`${seed} others`);
+    this.scenario = SCENARIOS[kind](scenario, this.faultRandom);
+    const { isFenced, capacity, loadMs } = this.scenario;
     this.spec = {
       slots: 8,
       memoryMb: 1000,
-      adapterSlots: places,
+      adapterSlots: capacity,
       modelLoadsPerSecond: 2,
       models: [{ name: MODEL, weightsMb: 90, adapterMb: 1 }],
     };
-    this.engine = new OrderedEngine({
+    this.engine = new SimulatedEngine({
       timers: this.timers,
       isFenced,
-      places,
+      capacity,
       loadMs: () => this.random.between(loadMs[0], loadMs[1]),
-      onEvent: (text) => this.note(`${this.timers.now().toFixed(1)} engine ${text}`),
+      onEvent: (text) => this.addTrace(`${this.timers.now().toFixed(1)} engine ${text}`),
     });
-    this.present = this.makeHolder();
+    this.currentDaemon = this.startDaemon();
   }
 
-  async run(): Promise<PlayResult> {
-    const { plan, timers } = this;
-    this.again(plan.betweenRequestsMs, () => {
-      void this.request(this.adapter(), false);
+  async run(): Promise<SimulationResult> {
+    const { scenario, timers } = this;
+    this.schedule(scenario.requestIntervalMs, () => {
+      void this.request(this.drawAdapter(), false);
     });
-    this.again(plan.betweenKeepersMs, () => this.changeKeeper());
-    this.again(plan.betweenRestartsMs, () => this.engine.restart());
-    this.again(plan.betweenVersionsMs, () => this.declare());
-    while (timers.now() < TROUBLE_MS && this.engine.overloads === 0) await timers.advance(50);
-    this.isCalm = true;
+    this.schedule(scenario.ownerChangeIntervalMs, () => this.changeOwner());
+    this.schedule(scenario.restartIntervalMs, () => this.engine.restart());
+    this.schedule(scenario.versionIntervalMs, () => this.declareVersion());
+    while (timers.now() < FAULT_PHASE_MS && this.engine.overloads === 0) await timers.advance(50);
+    this.isFaultFree = true;
     if (this.engine.overloads > 0) return this.result(false);
     await timers.advance(SETTLE_MS);
-    return this.result(await this.servesNow());
+    return this.result(await this.canServe());
   }
 
-  private result(servesAtEnd: boolean): PlayResult {
-    const { engine, runs, trace, plan } = this;
-    const { freeSlots: roomAtEnd } = this.present.owner.slotAvailability();
-    return { overloads: engine.overloads, runs, servesAtEnd, roomAtEnd, places: plan.places, trace };
+  private result(servesAtEnd: boolean): SimulationResult {
+    const { engine, requests, trace, scenario } = this;
+    const { freeSlots: freeSlotsAtEnd } = this.currentDaemon.owner.slotAvailability();
+    return {
+      overloads: engine.overloads,
+      requests,
+      servesAtEnd,
+      freeSlotsAtEnd,
+      capacity: scenario.capacity,
+      trace,
+    };
   }
 
-  /** Whether a caller that asks again when it is refused can have an adapter in time that nobody asked for so far. */
-  private async servesNow(): Promise<boolean> {
+  /**
+   * Returns whether a caller that retries when refused can have an adapter loaded in time that nobody has
+   * requested so far.
+   */
+  private async canServe(): Promise<boolean> {
     const { timers } = this;
-    const endAt = timers.now() + CALM_LIMIT_MS;
+    const endAt = timers.now() + FINAL_LOAD_TIMEOUT_MS;
     const ref = { model: MODEL, adapter: 'never-asked', version: undefined };
     let isServed = false;
-    const asking = async (): Promise<void> => {
+    const retryUntilServed = async (): Promise<void> => {
       while (!isServed && timers.now() < endAt) {
-        const line = await this.present.owner.ensure(ref, urgency(CALM_LIMIT_MS)).catch(() => REFUSED);
-        isServed = line === undefined;
+        const availability = await this.currentDaemon.owner
+          .ensure(ref, urgency(FINAL_LOAD_TIMEOUT_MS))
+          .catch(() => REFUSED);
+        isServed = availability === undefined;
         if (!isServed) await timers.sleep(RETRY_MS);
       }
     };
-    void asking();
-    await timers.advance(CALM_LIMIT_MS);
+    void retryUntilServed();
+    await timers.advance(FINAL_LOAD_TIMEOUT_MS);
     return isServed;
   }
 
-  private makeHolder(): Holder {
-    const { timers, random, engine, plan } = this;
-    this.holders += 1;
-    const name = `d${this.holders}`;
+  private startDaemon(): SimulatedDaemon {
+    const { timers, random, engine, scenario } = this;
+    this.daemonCount += 1;
+    const name = `d${this.daemonCount}`;
     this.token += TOKEN_STEP;
-    const trouble = (): number => (this.isCalm ? 0 : plan.trouble);
-    const isTwice = (): boolean =>
-      !this.isCalm && plan.answeredTwice > 0 && this.others.chance(plan.answeredTwice);
-    const way = new Way({ timers, engine, random, trouble, isOther: () => this.isOther(), isTwice });
-    const makeKeeper = (holder: Holder): EngineOwner =>
+    const faultShare = (): number => (this.isFaultFree ? 0 : scenario.faultShare);
+    const isNextDuplicated = (): boolean =>
+      !this.isFaultFree && scenario.duplicateShare > 0 && this.faultRandom.chance(scenario.duplicateShare);
+    const link = new FaultyLink({
+      timers,
+      engine,
+      random,
+      faultShare,
+      isNextMisattributed: () => this.drawMisattributed(),
+      isNextDuplicated,
+    });
+    const createOwner = (daemon: SimulatedDaemon): EngineOwner =>
       new EngineOwner({
         replica: this.replica,
         engine: this.spec,
         self: name,
-        control: this.tracedControl(name, way),
-        isFenced: plan.isFenced,
+        control: this.createTracedControl(name, link),
+        isFenced: scenario.isFenced,
         timers,
         log,
-        fencingToken: () => holder.token,
-        onFenced: () => holder.retire(),
+        fencingToken: () => daemon.token,
+        onFenced: () => daemon.loseLease(),
         onResidencyChange: () => undefined,
         onRestart: () => undefined,
       });
-    const holder = new Holder(way, this.token, makeKeeper);
-    void holder.owner.run();
-    return holder;
+    const daemon = new SimulatedDaemon(link, this.token, createOwner);
+    void daemon.owner.run();
+    return daemon;
   }
 
-  /** Whether the next order gets the answer to another call. */
-  private isOther(): boolean {
-    const { plan, others } = this;
-    if (this.isCalm) return false;
-    if (this.othersLeft > 0) {
-      this.othersLeft -= 1;
+  /** Draws whether the next order receives the response to another call. */
+  private drawMisattributed(): boolean {
+    const { scenario, faultRandom } = this;
+    if (this.isFaultFree) return false;
+    if (this.misattributedLeft > 0) {
+      this.misattributedLeft -= 1;
       return true;
     }
-    const isOther = others.chance(plan.otherAnswers);
-    if (isOther && plan.inRow > 1) this.othersLeft = Math.floor(others.between(1, plan.inRow));
-    return isOther;
+    const isMisattributed = faultRandom.chance(scenario.misattributedShare);
+    if (isMisattributed && scenario.maxMisattributedInRow > 1)
+      this.misattributedLeft = Math.floor(faultRandom.between(1, scenario.maxMisattributedInRow));
+    return isMisattributed;
   }
 
-  private tracedControl(name: string, way: Way): EngineControl {
+  private createTracedControl(name: string, link: FaultyLink): EngineControl {
     return {
       connect: (replica, onClosed) => {
-        const connection = way.connect(replica, onClosed);
+        const connection = link.connect(replica, onClosed);
         return {
           get isOpen() {
             return connection.isOpen;
           },
-          order: (order) => this.traced(name, order, connection.order(order)),
+          order: (order) => this.traceOrder(name, order, connection.order(order)),
           report: () => connection.report(),
           close: () => connection.close(),
         };
       },
-      report: (replica) => way.report(replica),
+      report: (replica) => link.report(replica),
     };
   }
 
-  private async traced<T>(
+  private async traceOrder<T>(
     name: string,
     { kind, adapter, expected }: EngineOrder,
     outcome: Promise<T>,
   ): Promise<T> {
     const sentAt = this.timers.now();
-    const answer = await outcome;
+    const result = await outcome;
     const span = `${sentAt.toFixed(1)}-${this.timers.now().toFixed(1)}`;
-    const number = expected === undefined ? '' : ` #${expected}`;
-    const room = `${this.engine.occupied}/${this.plan.places}`;
-    this.note(`${span} ${name} ${kind} ${adapter ?? MODEL}${number}: ${String(answer)} (${room})`);
-    return answer;
+    const sequenceLabel = expected === undefined ? '' : ` #${expected}`;
+    const occupancy = `${this.engine.occupied}/${this.scenario.capacity}`;
+    this.addTrace(
+      `${span} ${name} ${kind} ${adapter ?? MODEL}${sequenceLabel}: ${String(result)} (${occupancy})`,
+    );
+    return result;
   }
 
-  private note(line: string): void {
+  private addTrace(line: string): void {
     if (this.engine.overloads > 0) return;
     this.trace.push(line);
-    if (this.trace.length > MAX_TRACE) this.trace.shift();
+    if (this.trace.length > MAX_TRACE_LINES) this.trace.shift();
   }
 
-  /** Another daemon keeps the engine; the former one hears of it late, or has ended. */
-  private changeKeeper(): void {
-    const { random, timers, plan } = this;
-    const former = this.present;
-    if (random.chance(ENDED_SHARE)) former.end();
-    else timers.after(random.between(0, plan.deafMs), () => former.retire());
-    this.present = this.makeHolder();
+  /** Moves the engine to another daemon; the previous owner notices late, or has crashed. */
+  private changeOwner(): void {
+    const { random, timers, scenario } = this;
+    const previousDaemon = this.currentDaemon;
+    if (random.chance(CRASH_SHARE)) previousDaemon.crash();
+    else timers.after(random.between(0, scenario.maxOwnerOverlapMs), () => previousDaemon.loseLease());
+    this.currentDaemon = this.startDaemon();
   }
 
-  private declare(): void {
-    const adapter = this.adapter();
-    const version = this.engine.newestOf(adapter) + 1;
-    this.engine.declare(adapter, version);
-    const { owner } = this.present;
-    this.timers.after(this.random.between(0, this.plan.lagMs), () => {
+  private declareVersion(): void {
+    const adapter = this.drawAdapter();
+    const version = this.engine.newestVersionOf(adapter) + 1;
+    this.engine.declareVersion(adapter, version);
+    const { owner } = this.currentDaemon;
+    this.timers.after(this.random.between(0, this.scenario.maxReportLagMs), () => {
       if (!owner.hasOlderVersion(`${MODEL}/${adapter}`, version)) return;
-      owner.ensure({ model: MODEL, adapter, version }, urgency(PATIENCE_MS)).catch(() => undefined);
+      owner.ensure({ model: MODEL, adapter, version }, urgency(REQUEST_TIMEOUT_MS)).catch(() => undefined);
     });
   }
 
   private async request(adapter: string, isDoubted: boolean): Promise<void> {
     const { timers, random, engine } = this;
-    const { owner } = this.present;
-    const version = engine.newestOf(adapter) > 1 ? engine.newestOf(adapter) : undefined;
+    const { owner } = this.currentDaemon;
+    const version = engine.newestVersionOf(adapter) > 1 ? engine.newestVersionOf(adapter) : undefined;
     try {
       const ref = { model: MODEL, adapter, version, isDoubted };
-      if ((await owner.ensure(ref, urgency(PATIENCE_MS))) !== undefined) return;
+      if ((await owner.ensure(ref, urgency(REQUEST_TIMEOUT_MS))) !== undefined) return;
     } catch {
       return;
     }
     await timers.sleep(random.between(0, 3));
-    const answer = engine.begin(adapter);
-    if (answer === RunAnswer.NotHeld && !isDoubted) await this.request(adapter, true);
-    if (answer !== RunAnswer.Runs) return;
-    this.runs += 1;
-    this.count(adapter, 1);
+    const result = engine.startRequest(adapter);
+    if (result === RequestResult.NotResident && !isDoubted) await this.request(adapter, true);
+    if (result !== RequestResult.Started) return;
+    this.requests += 1;
+    this.reportRunning(adapter, 1);
     await timers.sleep(random.between(20, 700));
-    engine.end(adapter);
-    this.count(adapter, -1);
+    engine.endRequest(adapter);
+    this.reportRunning(adapter, -1);
   }
 
-  /** The owner hears of what runs a while later. */
-  private count(adapter: string, by: number): void {
-    const { timers, random, plan, running } = this;
+  /** Reports a change in running requests to the owner, with a delay. */
+  private reportRunning(adapter: string, change: number): void {
+    const { timers, random, scenario, running } = this;
     const key = `${MODEL}/${adapter}`;
-    timers.after(random.between(0, plan.lagMs), () => {
-      running.set(key, (running.get(key) ?? 0) + by);
-      if (by > 0) this.present.owner.recordUses(key, by);
-      this.present.owner.setRunning(running);
+    timers.after(random.between(0, scenario.maxReportLagMs), () => {
+      running.set(key, (running.get(key) ?? 0) + change);
+      if (change > 0) this.currentDaemon.owner.recordUses(key, change);
+      this.currentDaemon.owner.setRunning(running);
     });
   }
 
-  /** Few adapters are asked for often, many seldom. */
-  private adapter(): string {
-    const { random, plan } = this;
-    return `a${Math.floor(random.between(0, 1) ** 2 * plan.adapters)}`;
+  /** Draws an adapter: a few are requested often, many rarely. */
+  private drawAdapter(): string {
+    const { random, scenario } = this;
+    return `a${Math.floor(random.between(0, 1) ** 2 * scenario.adapters)}`;
   }
 
-  private again(everyMs: number, what: () => void): void {
+  private schedule(meanIntervalMs: number, action: () => void): void {
     const next = (): void => {
-      this.timers.after(this.random.between(0, 2 * everyMs), () => {
-        if (this.isCalm) return;
-        what();
+      this.timers.after(this.random.between(0, 2 * meanIntervalMs), () => {
+        if (this.isFaultFree) return;
+        action();
         next();
       });
     };
@@ -334,11 +363,9 @@
 }
 
 /**
- * Plays one seed.
- * @param seed - Names the play.
- * @param kind - What it adds to the ordinary trouble.
- * @returns What it shows.
+ * Runs the simulation of one seed.
+ * @param kind - Faults in addition to the plain scenario.
  */
-export function play(seed: string, kind = PlayKind.Plain): Promise<PlayResult> {
-  return new Play(seed, kind).run();
+export function simulate(seed: string, kind = ScenarioKind.Plain): Promise<SimulationResult> {
+  return new Simulation(seed, kind).run();
 }
