--- a/packages/routing/src/core/adapters/adapter-loader.ts
+++ b/packages/routing/src/core/adapters/adapter-loader.ts
@@ -11,7 +11,7 @@
 import { ReplicaState } from '../view/index.js';
 import type { ResidencyTable } from './residency.js';
 import { EngineOwner } from './engine-owner.js';
-import type { AdapterRef, EngineControl, Holdings, SlotAvailability, Urgency } from './types.js';
+import type { AdapterRef, EngineControl, EngineResidency, SlotAvailability, Urgency } from './types.js';
 import { adapterKey, AdapterUnavailable } from './types.js';
 
 /** Options of the loader. */
@@ -27,13 +27,13 @@
   readonly timers: TimerService;
   readonly log: DecisionLog;
   /** Publishes the models and adapters resident on an engine that this daemon owns. */
-  readonly publishHoldings: (residency: Holdings) => void;
+  readonly publishResidency: (residency: EngineResidency) => void;
   /** Publishes that a replica has restarted. */
   readonly publishStart: (start: ReplicaStart) => void;
 }
 
 /** Body of the request to the daemon that owns an engine. */
-export interface EnsureWanted extends AdapterRef, Urgency {
+export interface EnsureRequest extends AdapterRef, Urgency {
   readonly replica: string;
 }
 
@@ -48,7 +48,7 @@
 };
 
 /** Makes adapters resident on engines, through local or remote owners. */
-export class Loader {
+export class AdapterLoader {
   private readonly owners = new Map<string, EngineOwner>();
 
   constructor(private readonly options: AdapterLoaderOptions) {
@@ -68,14 +68,14 @@
     const lease = leases.of(replica.id);
     if (lease === undefined) throw new AdapterUnavailable('The engine has no owner at present.');
     residency.reserveSlot(replica.id);
-    const request: EnsureWanted = { ...ref, ...urgency, replica: replica.id };
+    const request: EnsureRequest = { ...ref, ...urgency, replica: replica.id };
     const availability =
       lease.holder === self
-        ? await this.ensureHere(request)
+        ? await this.ensureLocally(request)
         : await cluster.request(lease.holder, MessageType.EnsureAdapter, request, urgency.timeoutMs);
     // MessagePack has no undefined.
     if (availability === undefined || availability === null) return true;
-    residency.updateSlots(availability as SlotAvailability);
+    residency.updateAvailability(availability as SlotAvailability);
     return false;
   }
 
@@ -85,7 +85,7 @@
    *   time.
    * @throws AdapterUnavailable when the adapter can't be loaded within its timeout.
    */
-  async ensureHere(request: EnsureWanted): Promise<SlotAvailability | undefined> {
+  async ensureLocally(request: EnsureRequest): Promise<SlotAvailability | undefined> {
     const { replica, model, adapter, version, isDoubted, timeoutMs } = request;
     const owner = this.owners.get(replica);
     if (owner === undefined) throw new AdapterUnavailable('This daemon does not own the engine.');
@@ -105,7 +105,7 @@
   }
 
   /** Starts the owner of an engine whose lease this daemon has acquired. */
-  gain(lease: EngineLease): void {
+  startOwner(lease: EngineLease): void {
     const { registry, leases, control, isFenced, timers, log, self } = this.options;
     const replica = registry.replica(lease.replica);
     const engine = replica && registry.table?.service(replica.service)?.engine;
@@ -128,7 +128,7 @@
   }
 
   /** Stops the owner of an engine whose lease this daemon has lost. */
-  lose(lease: EngineLease): void {
+  stopOwner(lease: EngineLease): void {
     this.removeOwner(lease.replica);
   }
 
@@ -191,13 +191,13 @@
   }
 
   /** Returns the slot availability of this daemon's engines. */
-  slots(): SlotAvailability[] {
+  slotAvailability(): SlotAvailability[] {
     return [...this.owners.values()].map((owner) => owner.slotAvailability());
   }
 
   /** Returns what is resident on this daemon's engines, as far as it is known. */
-  residencies(): Holdings[] {
-    const residencies: Holdings[] = [];
+  residencies(): EngineResidency[] {
+    const residencies: EngineResidency[] = [];
     for (const owner of this.owners.values()) {
       const residency = owner.residency();
       if (residency !== undefined) residencies.push(residency);
@@ -218,8 +218,8 @@
     this.owners.delete(replica);
   }
 
-  private publishResidency(residency: Holdings): void {
-    this.options.residency.take(residency);
-    this.options.publishHoldings(residency);
+  private publishResidency(residency: EngineResidency): void {
+    this.options.residency.updateResidency(residency);
+    this.options.publishResidency(residency);
   }
 }
--- a/packages/routing/src/core/adapters/engine-owner.ts
+++ b/packages/routing/src/core/adapters/engine-owner.ts
@@ -19,7 +19,7 @@
 import { EngineSession } from './session.js';
 import type { Slot } from './slots.js';
 import { isInTransition, SlotState, SlotTable } from './slots.js';
-import type { AdapterRef, EngineReport, Holdings, SlotAvailability, Urgency } from './types.js';
+import type { AdapterRef, EngineReport, EngineResidency, SlotAvailability, Urgency } from './types.js';
 import { adapterKey, AdapterUnavailable, OrderKind, OrderOutcome } from './types.js';
 import { Unloader } from './unloader.js';
 
@@ -44,7 +44,7 @@
   /** Whether the engine rejects orders with older fencing tokens. */
   readonly isFenced: boolean;
   /** Called when the set of resident adapters has changed. */
-  readonly onResidencyChange: (residency: Holdings) => void;
+  readonly onResidencyChange: (residency: EngineResidency) => void;
 }
 
 /** Owner of one engine: decides which adapters are resident there and in which order loads start. */
@@ -200,7 +200,7 @@
    * Returns the resident models and adapters; undefined while they are unknown or this daemon has no valid
    * token.
    */
-  residency(): Holdings | undefined {
+  residency(): EngineResidency | undefined {
     const token = this.options.fencingToken();
     if (!this.isReady || token === undefined) return undefined;
     const adapters: Record<string, number> = {};
--- a/packages/routing/src/core/adapters/index.ts
+++ b/packages/routing/src/core/adapters/index.ts
@@ -2,8 +2,8 @@
 export { ResidencyTable } from './residency.js';
 export type { EngineOwnerOptions } from './engine-owner.js';
 export { EngineOwner } from './engine-owner.js';
-export type { EnsureWanted, AdapterLoaderOptions } from './adapter-loader.js';
-export { Loader } from './adapter-loader.js';
+export type { EnsureRequest, AdapterLoaderOptions } from './adapter-loader.js';
+export { AdapterLoader } from './adapter-loader.js';
 export { SlotState, SlotTable } from './slots.js';
 export type {
   AdapterRef,
@@ -12,7 +12,7 @@
   EngineOrder,
   EngineReport,
   EnsureAdapter,
-  Holdings,
+  EngineResidency,
   SlotAvailability,
   Urgency,
 } from './types.js';
--- a/packages/routing/src/core/adapters/residency.ts
+++ b/packages/routing/src/core/adapters/residency.ts
@@ -3,7 +3,7 @@
  * failing that, listed in the registry.
  */
 import type { ReplicaRegistry, ReplicaEntry } from '../view/index.js';
-import type { Holdings, SlotAvailability } from './types.js';
+import type { EngineResidency, SlotAvailability } from './types.js';
 import { adapterKey } from './types.js';
 
 /**
@@ -15,7 +15,7 @@
 
 /** Table of the models and adapters resident on engines and of the engines' slot availability. */
 export class ResidencyTable {
-  private readonly published = new Map<string, Holdings>();
+  private readonly published = new Map<string, EngineResidency>();
 
   private readonly availability = new Map<string, SlotAvailability>();
 
@@ -38,7 +38,7 @@
   }
 
   /** Updates the table with what an engine's owner has published; an older token is ignored. */
-  take(residency: Holdings): void {
+  updateResidency(residency: EngineResidency): void {
     const published = this.published.get(residency.replica);
     if (published !== undefined && residency.token < published.token) return;
     this.published.set(residency.replica, residency);
@@ -49,7 +49,7 @@
    * Merges the recently resident adapters that a peer remembers, after this daemon's start.
    * @param keys - `model/adapter`, latest last.
    */
-  takeRecent(replica: string, keys: readonly string[]): void {
+  mergeRecent(replica: string, keys: readonly string[]): void {
     const ownKeys = this.recent.get(replica) ?? [];
     this.recent.set(replica, new Set([...keys, ...ownKeys]));
   }
@@ -58,7 +58,7 @@
    * Returns the recently resident adapters of all engines, for a peer that has just started.
    * @returns Engines with their adapters, latest last.
    */
-  allRecent(): [replica: string, keys: string[]][] {
+  recentAdapters(): [replica: string, keys: string[]][] {
     return [...this.recent].map(([replica, keys]) => [replica, [...keys]]);
   }
 
@@ -66,25 +66,25 @@
    * Returns whether an adapter was recently resident on an engine, so that loading it there is fast.
    * @param key - `model/adapter`.
    */
-  wasHeld(replica: string, key: string): boolean {
+  wasRecentlyResident(replica: string, key: string): boolean {
     return this.recent.get(replica)?.has(key) ?? false;
   }
 
   /** Updates the slot availability published by an engine's owner. */
-  updateSlots(availability: SlotAvailability): void {
+  updateAvailability(availability: SlotAvailability): void {
     this.availability.set(availability.replica, availability);
   }
 
   /** Counts a requested load against an engine's slot availability, until its owner publishes a new one. */
   reserveSlot(replica: string): void {
-    const availability = this.slots(replica);
+    const availability = this.availabilityOf(replica);
     const { freeSlots, queued } = availability;
     const change = freeSlots > 0 ? { freeSlots: freeSlots - 1 } : { queued: queued + 1 };
     this.availability.set(replica, { ...availability, ...change });
   }
 
   /** Returns the slot availability of an engine; no free slots when none has been published. */
-  slots(replica: string): SlotAvailability {
+  availabilityOf(replica: string): SlotAvailability {
     return this.availability.get(replica) ?? { replica, freeSlots: 0, queued: 0 };
   }
 
@@ -92,7 +92,7 @@
    * Removes an adapter after an engine rejected a request for lack of it.
    * @param key - `model/adapter`.
    */
-  drop(replica: string, key: string): void {
+  markAbsent(replica: string, key: string): void {
     const published = this.published.get(replica);
     if (published === undefined || !(key in published.adapters)) return;
     const { [key]: dropped, ...adapters } = published.adapters;
@@ -101,14 +101,14 @@
   }
 
   /** Returns whether a base model is resident on an engine. */
-  holdsModel(replica: ReplicaEntry, model: string): boolean {
+  hasModel(replica: ReplicaEntry, model: string): boolean {
     const published = this.published.get(replica.id);
     if (published?.models.includes(model)) return true;
     return replica.models?.some(({ name }) => name === model) ?? false;
   }
 
   /** Returns the resident version of an adapter on an engine, or undefined. */
-  version(replica: ReplicaEntry, model: string, adapter: string): number | undefined {
+  versionOf(replica: ReplicaEntry, model: string, adapter: string): number | undefined {
     const published = this.published.get(replica.id);
     if (published !== undefined) return published.adapters[adapterKey(model, adapter)];
     const registered = this.registry.replica(replica.id)?.models?.find(({ name }) => name === model);
--- a/packages/routing/src/core/adapters/types.ts
+++ b/packages/routing/src/core/adapters/types.ts
@@ -152,7 +152,7 @@
 export class AdapterUnavailable extends Error {}
 
 /** The models and adapters resident on an engine, as published by its owner. */
-export interface Holdings {
+export interface EngineResidency {
   readonly replica: string;
   /**
    * Fencing token of the lease under which this was recorded; of two, the one with the higher token is valid.
--- a/packages/routing/src/core/choice/chooser.ts
+++ b/packages/routing/src/core/choice/chooser.ts
@@ -165,7 +165,7 @@
     const { model } = need;
     const count = (replica: ReplicaEntry): Candidate => ({ replica, ...inFlight.counts(replica.id) });
     if (model === undefined) return replicas.map(count);
-    const holders = replicas.filter((replica) => residency.holdsModel(replica, model));
+    const holders = replicas.filter((replica) => residency.hasModel(replica, model));
     return holders.map(count).filter((candidate) => hasPlace(candidate, need));
   }
 
@@ -193,14 +193,14 @@
 
   private loadCost(replica: string, key: string): number {
     const { residency } = this.options;
-    const load = residency.wasHeld(replica, key) ? RELOAD_COST_MS : FIRST_LOAD_COST_MS;
-    const { freeSlots, queued } = residency.slots(replica);
+    const load = residency.wasRecentlyResident(replica, key) ? RELOAD_COST_MS : FIRST_LOAD_COST_MS;
+    const { freeSlots, queued } = residency.availabilityOf(replica);
     if (freeSlots < 0) return REST_COST_MS;
     return load + SLOT_COST_MS[Math.min(freeSlots, SLOT_COST_MS.length - 1)]! + queued * QUEUED_COST_MS;
   }
 
   private heldVersion(replica: ReplicaEntry, model: string, adapter: string): number | undefined {
-    const held = this.options.residency.version(replica, model, adapter);
+    const held = this.options.residency.versionOf(replica, model, adapter);
     return held !== undefined && held >= this.leastVersion(model, adapter) ? held : undefined;
   }
 }
--- a/packages/routing/src/core/daemon/engine-rows.ts
+++ b/packages/routing/src/core/daemon/engine-rows.ts
@@ -1,5 +1,5 @@
 /** Rows of shared state that the owner of an engine publishes about it, and their encoding. */
-import type { Holdings } from '../adapters/index.js';
+import type { EngineResidency } from '../adapters/index.js';
 import type { EngineRow } from '../dissemination/index.js';
 
 /** Free slots of an engine and the requests in flight on it. */
@@ -15,7 +15,7 @@
 }
 
 /** Adapters resident on an engine. */
-export type ResidencyRow = EngineRow & Holdings;
+export type ResidencyRow = EngineRow & EngineResidency;
 
 type LoadFrame = readonly [string, number, number, number, number, number, number];
 
--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -6,7 +6,7 @@
  */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
-import type { Loader } from '../adapters/index.js';
+import type { AdapterLoader } from '../adapters/index.js';
 import type { EngineLeases } from '../ownership/index.js';
 import type { AdapterInFlight, InFlightReport, InFlightTable, ReplicaInFlight } from '../choice/index.js';
 import { encodeInFlight } from '../choice/index.js';
@@ -24,7 +24,7 @@
   readonly self: string;
   readonly cluster: Pick<Cluster, 'send'>;
   readonly leases: Pick<EngineLeases, 'of'>;
-  readonly loader: Pick<Loader, 'setRunning' | 'use'>;
+  readonly loader: Pick<AdapterLoader, 'setRunning' | 'use'>;
   readonly inFlight: InFlightTable;
   readonly timers: TimerService;
 }
--- a/packages/routing/src/core/daemon/peer-protocol.ts
+++ b/packages/routing/src/core/daemon/peer-protocol.ts
@@ -1,7 +1,7 @@
 /** Messages between router daemons: the topics of the shared state, and the requests to owners of engines. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
-import type { EnsureWanted, Holdings, ResidencyTable, Loader } from '../adapters/index.js';
+import type { EnsureRequest, EngineResidency, ResidencyTable, AdapterLoader } from '../adapters/index.js';
 import type { EngineLease, EngineLeases } from '../ownership/index.js';
 import type { InFlightFrame, InFlightReport, InFlightTable } from '../choice/index.js';
 import { decodeInFlight } from '../choice/index.js';
@@ -28,7 +28,7 @@
   readonly tree: DisseminationTree;
   readonly registry: ReplicaRegistry;
   readonly leases: EngineLeases;
-  readonly loader: Loader;
+  readonly loader: AdapterLoader;
   readonly residency: ResidencyTable;
   readonly inFlight: InFlightTable;
   readonly reporter: InFlightReporter;
@@ -65,7 +65,7 @@
     tree.register(Topic.EngineLoad, this.loadTopic());
     tree.register(Topic.Residency, this.residencyTopic());
     tree.register(Topic.ReplicaStart, this.startTopic());
-    cluster.handle(MessageType.EnsureAdapter, (_from, wanted: EnsureWanted) => loader.ensureHere(wanted));
+    cluster.handle(MessageType.EnsureAdapter, (_from, wanted: EnsureRequest) => loader.ensureLocally(wanted));
     cluster.handle(MessageType.InFlightReport, ({ address }, frame: InFlightFrame) =>
       this.mergeReport(address, decodeInFlight(frame)),
     );
@@ -96,7 +96,7 @@
   }
 
   /** Publishes the resident models and adapters of an engine that this daemon owns. */
-  publishResidency(residency: Holdings): void {
+  publishResidency(residency: EngineResidency): void {
     const row: ResidencyRow = { ...residency, sequence: this.nextSequence() };
     this.residencyRows.merge(row);
     this.options.tree.publish(Topic.Residency, row);
@@ -105,7 +105,9 @@
   private publishLoads(): void {
     const { leases, loader, inFlight, timers } = this.options;
     loader.refreshRunning((replica) => inFlight.runningByAdapter(replica));
-    const slots = new Map(loader.slots().map((availability) => [availability.replica, availability]));
+    const slots = new Map(
+      loader.slotAvailability().map((availability) => [availability.replica, availability]),
+    );
     const now = timers.now();
     for (const { replica, token } of leases.ownLeases()) {
       const { freeSlots, queued } = slots.get(replica) ?? { freeSlots: 0, queued: 0 };
@@ -125,7 +127,7 @@
 
   private applyLoad(row: EngineLoadRow): void {
     const { residency, inFlight } = this.options;
-    residency.updateSlots(row);
+    residency.updateAvailability(row);
     inFlight.takeTotal(row);
   }
 
@@ -186,7 +188,7 @@
       keyOf: ({ replica }) => replica,
       merge: (row) => {
         const isNew = this.residencyRows.merge(row);
-        if (isNew) this.options.residency.take(row);
+        if (isNew) this.options.residency.updateResidency(row);
         return isNew;
       },
       snapshot: () => this.residencyRows.snapshot(),
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -9,7 +9,7 @@
 import type { Metrics, Service, ServiceFinder, TimerHandle } from '@celeryyoke/core';
 import { createMetrics } from '@celeryyoke/core';
 
-import { ResidencyTable, Loader } from '../adapters/index.js';
+import { ResidencyTable, AdapterLoader } from '../adapters/index.js';
 import { AccountMetrics, AccountQuotas } from '../accounts/index.js';
 import { EngineLeases, FleetSettling, PauseDetector } from '../ownership/index.js';
 import { RetryBudget } from '../budget/index.js';
@@ -251,8 +251,8 @@
       view: kernel.get(PART.view),
       timers,
       log,
-      recent: () => residency.allRecent(),
-      mergeRecent: (replica, keys) => residency.takeRecent(replica, keys),
+      recent: () => residency.recentAdapters(),
+      mergeRecent: (replica, keys) => residency.mergeRecent(replica, keys),
     });
   }
 
@@ -285,7 +285,7 @@
     const { timers, log } = this.options;
     const reporter = kernel.get<InFlightReporter>(PART.reporter);
     const protocol = kernel.get<PeerProtocol>(PART.protocol);
-    const loader = kernel.get<Loader>(PART.loader);
+    const loader = kernel.get<AdapterLoader>(PART.loader);
     const inFlight = kernel.get<InFlightTable>(PART.inFlight);
     return new PromptAdmission({
       self: addressOf(this.options),
@@ -387,7 +387,7 @@
           token: lease.token,
         });
         tree.publish(Topic.EngineLease, lease);
-        this.get<Loader>(PART.loader).gain(lease);
+        this.get<AdapterLoader>(PART.loader).startOwner(lease);
       },
       onLoss: (lease, reason) => {
         log.decide('lease.lost', `Lost the lease of ${lease.replica}.`, {
@@ -395,7 +395,7 @@
           token: lease.token,
           reason,
         });
-        this.get<Loader>(PART.loader).lose(lease);
+        this.get<AdapterLoader>(PART.loader).stopOwner(lease);
       },
     });
     registry.onReplica((id, entry) => {
@@ -404,10 +404,10 @@
     return leases;
   }
 
-  private makeLoader(kernel: ServiceFinder): Loader {
+  private makeLoader(kernel: ServiceFinder): AdapterLoader {
     const { timers, log } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
-    const loader = new Loader({
+    const loader = new AdapterLoader({
       self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
       leases: kernel.get(PART.leases),
@@ -417,7 +417,7 @@
       isFenced: this.options.settings.isFenced,
       timers,
       log,
-      publishHoldings: (residency) => this.get<PeerProtocol>(PART.protocol).publishResidency(residency),
+      publishResidency: (residency) => this.get<PeerProtocol>(PART.protocol).publishResidency(residency),
       publishStart: (start) => this.get<DisseminationTree>(PART.tree).publish(Topic.ReplicaStart, start),
     });
     const channels = kernel.get<ChannelPool>(PART.channels);
@@ -444,7 +444,7 @@
         adapter,
         version,
       });
-      this.get<Loader>(PART.loader).upgrade(model, adapter, version);
+      this.get<AdapterLoader>(PART.loader).upgrade(model, adapter, version);
     });
     const watcher = new StoreWatcher({
       view,
@@ -477,7 +477,7 @@
     const residency = kernel.get<ResidencyTable>(PART.residency);
     const inFlight = kernel.get<InFlightTable>(PART.inFlight);
     const health = kernel.get<ReplicaHealth>(PART.health);
-    const loader = kernel.get<Loader>(PART.loader);
+    const loader = kernel.get<AdapterLoader>(PART.loader);
     const cluster = kernel.get<Cluster>(PART.cluster);
     const view = kernel.get<ReplicatedStore>(PART.view);
     const limits = kernel.get<ReplicaLimits>(PART.limits);
@@ -539,7 +539,7 @@
           log,
           ensure,
         }),
-        notHeld: (replica, key) => residency.drop(replica, key),
+        notHeld: (replica, key) => residency.markAbsent(replica, key),
         metrics: new RequestMetrics(kernel.get<Metrics>(PART.metrics)),
         viewAgeMs: () => roundAge(view.ageMs),
         fleetShare: () => share.own(),
--- a/packages/routing/test/engine-owner.test.ts
+++ b/packages/routing/test/engine-owner.test.ts
@@ -1,6 +1,6 @@
 /** Checks that an owner never orders an engine beyond its capacity and never blocks it. */
 import { createManualTimers } from '@celeryyoke/core';
-import type { Holdings, EngineOwnerOptions, SlotAvailability } from '@celeryyoke/routing';
+import type { EngineResidency, EngineOwnerOptions, SlotAvailability } from '@celeryyoke/routing';
 import { AdapterUnavailable, EngineOwner, OrderKind, OrderOutcome } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
@@ -41,7 +41,7 @@
 async function setUp() {
   const timers = createManualTimers();
   const control = new FakeEngine(timers, CAPACITY);
-  const published: Holdings[] = [];
+  const published: EngineResidency[] = [];
   const fenced: number[] = [];
   const lease: { token: number | undefined } = { token: 5 };
   const owner = createOwner({
@@ -62,7 +62,7 @@
   const timers = createManualTimers();
   const control = new FakeEngine(timers, CAPACITY);
   control.scriptedOutcomes = [OrderOutcome.Started, OrderOutcome.Started];
-  const published: Holdings[] = [];
+  const published: EngineResidency[] = [];
   const owner = createOwner({
     replica: { ...engineEntry('e'), models: [] },
     control,
@@ -97,7 +97,7 @@
   const control = new FakeEngine(timers, CAPACITY);
   control.slots.set('x', { isLoading: false, running: 0 });
   control.sequence = 7;
-  const published: Holdings[] = [];
+  const published: EngineResidency[] = [];
   const owner = createOwner({ control, timers, onResidencyChange: (residency) => published.push(residency) });
   void owner.run();
   await timers.advance(5);
@@ -110,7 +110,7 @@
   control.staleReport = control.currentReport();
   for (const adapter of ['x', 'y', 'z']) control.slots.set(adapter, { isLoading: false, running: 0 });
   control.sequence = 3;
-  const published: Holdings[] = [];
+  const published: EngineResidency[] = [];
   const owner = createOwner({ control, timers, onResidencyChange: (residency) => published.push(residency) });
   void owner.run();
   await timers.advance(100);
@@ -405,7 +405,7 @@
   const control = new FakeEngine(timers, CAPACITY);
   control.bornAt = 2000;
   const starts: number[] = [];
-  const published: Holdings[] = [];
+  const published: EngineResidency[] = [];
   const owner = createOwner({
     replica: { ...engineEntry('e'), bornAt: 1000 },
     control,
