--- a/packages/routing/src/core/choice/in-flight-codec.ts
+++ b/packages/routing/src/core/choice/in-flight-codec.ts
@@ -1,18 +1,16 @@
-/** The compact form of a report of requests in flight: it goes with each request, so names are left out. */
+/**
+ * Encodes reports of requests in flight as arrays without field names, as each admission request carries one.
+ */
 import type { InFlightReport } from './in-flight.js';
 
-/** A report between daemons. */
+/** A report as it is sent between daemons. */
 export type InFlightFrame = readonly [
   isWhole: boolean,
   replicas: readonly (readonly [replica: string, running: number, waiting: number])[],
   adapters: readonly (readonly [replica: string, key: string, running: number, begun: number])[],
 ];
 
-/**
- * Encodes a report.
- * @param report - The report.
- * @returns Its compact form.
- */
+/** Encodes a report. */
 export function encodeInFlight({ isWhole, replicas, adapters }: InFlightReport): InFlightFrame {
   return [
     isWhole,
@@ -21,11 +19,7 @@
   ];
 }
 
-/**
- * Decodes a report.
- * @param frame - Its compact form.
- * @returns The report.
- */
+/** Decodes a report. */
 export function decodeInFlight([isWhole, replicas, adapters]: InFlightFrame): InFlightReport {
   return {
     isWhole,
--- a/packages/routing/src/core/choice/in-flight.ts
+++ b/packages/routing/src/core/choice/in-flight.ts
@@ -1,21 +1,23 @@
 /**
- * Requests in flight on each replica: this daemon's own at once, the others' as they are told.
+ * Requests in flight on each replica: this daemon's own, counted as they happen, and those of the other
+ * daemons, as they are reported.
  *
- * Of an engine each daemon tells its owner, which publishes the sum; so what is told grows with the work and not with
- * the number of daemons. Of a plain service each daemon knows its own requests only.
+ * Each daemon reports its requests on an engine to the engine's owner, which publishes the sum. So the
+ * traffic grows with the requests and not with the number of daemons. Of a plain service each daemon knows
+ * only its own requests.
  */
 import type { TimerService } from '@celeryyoke/core';
 
-/** Age at which what a peer told no longer counts, in milliseconds: some whole reports. */
+/** Age at which a peer's report no longer counts: several intervals of whole reports. */
 const STALE_REPORT_MS = 3500;
-/** Age at which an owner's sum no longer counts, in milliseconds. */
+/** Age at which a sum that an owner published no longer counts. */
 const STALE_TOTAL_MS = 2500;
 
-/** Requests on a replica. */
+/** Numbers of requests on a replica. */
 export interface Counts {
-  /** Those in flight. */
+  /** Requests in flight. */
   running: number;
-  /** Those of them that have no answer yet. */
+  /** Those of them that have no response yet. */
   waiting: number;
 }
 
@@ -34,99 +36,94 @@
   readonly begun: number;
 }
 
-/** What a daemon tells the owner of some engines. */
+/** A daemon's report to the owner of some engines. */
 export interface InFlightReport {
-  /** Whether it names all of the daemon's requests there; if not, what it leaves out has not changed. */
+  /** Whether it lists all of the daemon's requests there; if not, what it leaves out has not changed. */
   readonly isWhole: boolean;
   readonly replicas: readonly ReplicaInFlight[];
   readonly adapters: readonly AdapterInFlight[];
 }
 
-/** A request in flight, as its execution reports it. */
+/** A request in flight; its execution calls these methods. */
 export interface RunningNote {
-  /** The first byte of its answer has come. */
+  /** Records that the first byte of the response has arrived; further calls do nothing. */
   answered(): void;
-  /** It has ended. */
+  /** Records that the request has ended; to be called once. */
   ended(): void;
 }
 
-interface OwnUse {
+interface AdapterUse {
   running: number;
   begun: number;
 }
 
-/** What one daemon told of its requests. */
-interface Reported {
+/** The latest reports of one peer, merged. */
+interface PeerReport {
   at: number;
   readonly replicas: Map<string, Readonly<Counts>>;
   /** Requests in flight by replica and `model/adapter`. */
   readonly adapters: Map<string, Map<string, number>>;
 }
 
-/** What the owner of an engine told of all daemons' requests, and this daemon's own part of it. */
-interface Total extends Counts {
+/** The sum that an engine's owner published, and the part of it that was this daemon's when it arrived. */
+interface PublishedTotal extends Counts {
   readonly at: number;
   readonly own: Readonly<Counts>;
 }
 
-/** Told when this daemon's requests on a replica have changed; the adapter is undefined where there is none. */
+/**
+ * Called when this daemon's requests on a replica have changed; the key is undefined where there is no
+ * adapter.
+ */
 export type InFlightListener = (replica: string, key: string | undefined) => void;
 
-/** Requests in flight. */
+/** Counts requests in flight by replica and adapter. */
 export class InFlightTable {
-  private readonly own = new Map<string, Counts>();
+  private readonly ownCounts = new Map<string, Counts>();
 
-  private readonly ownUses = new Map<string, Map<string, OwnUse>>();
+  private readonly ownAdapterUses = new Map<string, Map<string, AdapterUse>>();
 
-  /** By peer, its requests on engines that this daemon owns. */
-  private readonly reported = new Map<string, Reported>();
+  /** Requests of each peer on engines that this daemon owns. */
+  private readonly peerReports = new Map<string, PeerReport>();
 
-  /** By engine, what its owner told. */
-  private readonly totals = new Map<string, Total>();
+  /** Sums by engine, as their owners published them. */
+  private readonly publishedTotals = new Map<string, PublishedTotal>();
 
   private readonly listeners: InFlightListener[] = [];
 
-  /**
-   * Makes an empty table.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
-  /**
-   * Subscribes to this daemon's own requests.
-   * @param listener - Told of each change.
-   */
+  /** Subscribes to changes of this daemon's own requests. */
   onChange(listener: InFlightListener): void {
     this.listeners.push(listener);
   }
 
   /**
-   * Notes that a request begins.
-   * @param replica - Where.
-   * @param key - `model/adapter`, where it uses one.
-   * @returns To be told of its further steps.
+   * Counts a new request.
+   * @param key - `model/adapter`; undefined without an adapter.
+   * @returns The handle on which the request's further steps are recorded.
    */
   begin(replica: string, key: string | undefined): RunningNote {
-    const counts = this.own.get(replica) ?? { running: 0, waiting: 0 };
-    this.own.set(replica, counts);
-    counts.running += 1;
-    counts.waiting += 1;
-    const use = key === undefined ? undefined : this.useOf(replica, key);
+    const own = this.ownCounts.get(replica) ?? { running: 0, waiting: 0 };
+    this.ownCounts.set(replica, own);
+    own.running += 1;
+    own.waiting += 1;
+    const use = key === undefined ? undefined : this.ownUseOf(replica, key);
     if (use !== undefined) {
       use.running += 1;
       use.begun += 1;
     }
     this.notify(replica, key);
-    let isWaiting = true;
+    let isUnanswered = true;
     const answered = (): void => {
-      if (!isWaiting) return;
-      isWaiting = false;
-      counts.waiting -= 1;
+      if (!isUnanswered) return;
+      isUnanswered = false;
+      own.waiting -= 1;
       this.notify(replica, undefined);
     };
     const ended = (): void => {
       answered();
-      counts.running -= 1;
+      own.running -= 1;
       if (use !== undefined) use.running -= 1;
       this.notify(replica, key);
     };
@@ -134,59 +131,47 @@
   }
 
   /**
-   * Takes what a peer told of its requests on engines that this daemon owns.
-   * @param peer - Its address.
-   * @param report - Its requests.
+   * Merges a peer's report on engines that this daemon owns; a whole one replaces the earlier ones.
+   * @param peer - Address of the peer.
    */
   take(peer: string, { isWhole, replicas, adapters }: InFlightReport): void {
     const now = this.timers.now();
-    const known = this.reported.get(peer);
-    const isKept = !isWhole && known !== undefined && known.at > now - STALE_REPORT_MS;
-    const reported = isKept ? known : { at: now, replicas: new Map(), adapters: new Map() };
-    this.reported.set(peer, reported);
-    reported.at = now;
-    for (const { replica, running, waiting } of replicas)
-      reported.replicas.set(replica, { running, waiting });
-    for (const line of adapters) setUse(reported, line);
+    const known = this.peerReports.get(peer);
+    const isUpdate = !isWhole && known !== undefined && known.at > now - STALE_REPORT_MS;
+    const merged = isUpdate ? known : { at: now, replicas: new Map(), adapters: new Map() };
+    this.peerReports.set(peer, merged);
+    merged.at = now;
+    for (const { replica, running, waiting } of replicas) merged.replicas.set(replica, { running, waiting });
+    for (const row of adapters) setAdapterCount(merged, row);
   }
 
-  /**
-   * Takes what the owner of an engine told of all daemons' requests there.
-   * @param total - The engine and the sums.
-   */
+  /** Stores the sum of all daemons' requests on an engine, as its owner published it. */
   takeTotal({ replica, running, waiting }: ReplicaInFlight): void {
-    const { running: ownRunning = 0, waiting: ownWaiting = 0 } = this.own.get(replica) ?? {};
+    const { running: ownRunning = 0, waiting: ownWaiting = 0 } = this.ownCounts.get(replica) ?? {};
     const own = { running: ownRunning, waiting: ownWaiting };
-    this.totals.set(replica, { at: this.timers.now(), running, waiting, own });
+    this.publishedTotals.set(replica, { at: this.timers.now(), running, waiting, own });
   }
 
-  /**
-   * Forgets a replica that is gone.
-   * @param replica - The replica.
-   */
+  /** Removes a replica that no longer exists; this daemon's requests there count until they have ended. */
   forget(replica: string): void {
-    this.totals.delete(replica);
-    if (this.ownUses.get(replica)?.size === 0) this.ownUses.delete(replica);
+    this.publishedTotals.delete(replica);
+    if (this.ownAdapterUses.get(replica)?.size === 0) this.ownAdapterUses.delete(replica);
   }
 
-  /**
-   * Forgets a daemon whose process has ended, as its requests have ended with it.
-   * @param peer - Its address.
-   */
+  /** Removes the reports of a daemon whose process has ended, as its requests have ended with it. */
   forgetPeer(peer: string): void {
-    this.reported.delete(peer);
+    this.peerReports.delete(peer);
   }
 
   /**
-   * Counts the requests on a replica, over all daemons as far as their owner told.
-   * @param replica - The replica.
-   * @returns Those in flight, and those of them that have no answer yet.
+   * Returns the requests on a replica: the sum that its owner published, corrected by this daemon's changes
+   * since. When there is no recent sum, this daemon's own requests and those reported to it.
    */
   counts(replica: string): Counts {
-    const total = this.totals.get(replica);
+    const total = this.publishedTotals.get(replica);
     if (total === undefined || total.at <= this.timers.now() - STALE_TOTAL_MS) return this.sum(replica);
-    // What has changed here since is known, and not yet in the sum.
-    const own = this.own.get(replica);
+    // The published sum does not contain this daemon's changes since it arrived.
+    const own = this.ownCounts.get(replica);
     return {
       running: Math.max(own?.running ?? 0, total.running + (own?.running ?? 0) - total.own.running),
       waiting: Math.max(own?.waiting ?? 0, total.waiting + (own?.waiting ?? 0) - total.own.waiting),
@@ -194,90 +179,87 @@
   }
 
   /**
-   * Sums what each daemon told itself, for the engines that this daemon owns.
-   * @param replica - The replica.
-   * @returns Requests in flight, and those of them that have no answer yet.
+   * Returns the sum of this daemon's requests on a replica and those that peers reported: the owner publishes
+   * it.
    */
   sum(replica: string): Counts {
     const oldest = this.timers.now() - STALE_REPORT_MS;
-    const own = this.own.get(replica);
+    const own = this.ownCounts.get(replica);
     const sum = { running: own?.running ?? 0, waiting: own?.waiting ?? 0 };
-    for (const { at, replicas } of this.reported.values()) {
-      const told = at > oldest ? replicas.get(replica) : undefined;
-      if (told === undefined) continue;
-      sum.running += told.running;
-      sum.waiting += told.waiting;
+    for (const { at, replicas } of this.peerReports.values()) {
+      const counts = at > oldest ? replicas.get(replica) : undefined;
+      if (counts === undefined) continue;
+      sum.running += counts.running;
+      sum.waiting += counts.waiting;
     }
     return sum;
   }
 
   /**
-   * Counts the requests in flight on each adapter of a replica.
-   * @param replica - The replica.
-   * @returns By `model/adapter`, over all daemons.
+   * Returns the requests in flight on each adapter of a replica, as its owner knows them from all daemons.
+   * @returns By `model/adapter`.
    */
   runningByAdapter(replica: string): Map<string, number> {
     const sums = new Map<string, number>();
     const add = (key: string, running: number): void => {
       if (running > 0) sums.set(key, (sums.get(key) ?? 0) + running);
     };
-    for (const [key, { running }] of this.ownUses.get(replica) ?? []) add(key, running);
+    for (const [key, { running }] of this.ownAdapterUses.get(replica) ?? []) add(key, running);
     const oldest = this.timers.now() - STALE_REPORT_MS;
-    for (const { at, adapters } of this.reported.values())
+    for (const { at, adapters } of this.peerReports.values())
       if (at > oldest) for (const [key, running] of adapters.get(replica) ?? []) add(key, running);
     return sums;
   }
 
-  /**
-   * Tells this daemon's requests on one replica.
-   * @param replica - The replica.
-   * @returns Requests in flight.
-   */
+  /** Returns this daemon's requests on a replica. */
   ownOf(replica: string): ReplicaInFlight {
-    const { running = 0, waiting = 0 } = this.own.get(replica) ?? {};
+    const { running = 0, waiting = 0 } = this.ownCounts.get(replica) ?? {};
     return { replica, running, waiting };
   }
 
   /**
-   * Tells this daemon's requests on one adapter; those begun count as told from then on.
-   * @param replica - The replica.
+   * Returns this daemon's requests on an adapter for a report, and resets those that have begun since the
+   * last one.
    * @param key - `model/adapter`.
-   * @returns Requests in flight.
    */
   takeOwnUse(replica: string, key: string): AdapterInFlight {
-    const use = this.ownUses.get(replica)?.get(key);
+    const use = this.ownAdapterUses.get(replica)?.get(key);
     if (use === undefined) return { replica, key, running: 0, begun: 0 };
     const { running, begun } = use;
     use.begun = 0;
-    if (running === 0) this.ownUses.get(replica)!.delete(key);
+    if (running === 0) this.ownAdapterUses.get(replica)!.delete(key);
     return { replica, key, running, begun };
   }
 
-  /** Adapters of a replica on which this daemon has requests, or had since it told last. */
+  /**
+   * Returns the adapters of a replica on which this daemon has requests, or had some since its last report.
+   */
   ownKeys(replica: string): string[] {
-    return [...(this.ownUses.get(replica)?.keys() ?? [])];
+    return [...(this.ownAdapterUses.get(replica)?.keys() ?? [])];
   }
 
-  /** Replicas on which this daemon has requests in flight; forgets the others. */
+  /**
+   * Returns the replicas on which this daemon has requests in flight, and removes the counts of the others.
+   */
   ownReplicas(): string[] {
-    for (const [replica, { running }] of this.own) if (running === 0) this.own.delete(replica);
-    return [...this.own.keys()];
+    for (const [replica, { running }] of this.ownCounts) if (running === 0) this.ownCounts.delete(replica);
+    return [...this.ownCounts.keys()];
   }
 
   private notify(replica: string, key: string | undefined): void {
     for (const listener of this.listeners) listener(replica, key);
   }
 
-  private useOf(replica: string, key: string): OwnUse {
-    const byKey = this.ownUses.get(replica) ?? new Map<string, OwnUse>();
-    this.ownUses.set(replica, byKey);
+  private ownUseOf(replica: string, key: string): AdapterUse {
+    const byKey = this.ownAdapterUses.get(replica) ?? new Map<string, AdapterUse>();
+    this.ownAdapterUses.set(replica, byKey);
     const use = byKey.get(key) ?? { running: 0, begun: 0 };
     byKey.set(key, use);
     return use;
   }
 }
 
-function setUse({ adapters }: Reported, { replica, key, running }: AdapterInFlight): void {
+function setAdapterCount({ adapters }: PeerReport, { replica, key, running }: AdapterInFlight): void {
   const byKey = adapters.get(replica) ?? new Map<string, number>();
   adapters.set(replica, byKey);
   if (running > 0) byKey.set(key, running);
--- a/packages/routing/src/core/choice/index.ts
+++ b/packages/routing/src/core/choice/index.ts
@@ -1,4 +1,4 @@
-/** Which replica a request goes to. */
+/** Chooses the replica that a request goes to, by health, load and resident adapters. */
 export type { Choice, ChooserOptions, Need } from './chooser.js';
 export { Chooser, placesFor, useKey } from './chooser.js';
 export type { InFlightFrame } from './in-flight-codec.js';
--- a/packages/routing/src/core/choice/replica-health.ts
+++ b/packages/routing/src/core/choice/replica-health.ts
@@ -1,149 +1,130 @@
-/** How replicas have answered of late: failures and times, both fading so that a recovered one is tried again. */
+/**
+ * Failure rates, response times and ejections of replicas, as this daemon's own requests show them. Rates and
+ * times decay, so that a replica that has recovered is tried again.
+ */
 import type { TimerService } from '@celeryyoke/core';
 
-/** Time over which what was seen fades, in milliseconds. */
-const FADE_MS = 4000;
-/** Weight of a new measurement. */
-const WEIGHT = 0.15;
+/** Time constant of the exponential decay. */
+const DECAY_MS = 4000;
+/** Weight of a new sample in the moving averages. */
+const SAMPLE_WEIGHT = 0.15;
+/**
+ * Time without a byte from a replica with outstanding requests after which it is ejected: an engine with
+ * streams sends every 10 ms, and a plain service takes some hundred milliseconds at most.
+ */
+const SILENCE_TIMEOUT_MS = 700;
 /**
- * Time without a byte from a replica with requests in progress after which it counts as silent, in milliseconds: an
- * engine with streams sends every ten, and a plain service takes some hundred at most.
+ * First ejection of a replica that can't be reached; each further one takes twice as long, up to the maximum.
  */
-const SILENT_MS = 700;
-/** First time for which a replica that can't be reached is left alone, in milliseconds; it doubles. */
-const FIRST_REST_MS = 400;
-const MAX_REST_MS = 3000;
+const MIN_EJECTION_MS = 400;
+const MAX_EJECTION_MS = 3000;
 
-interface Record {
-  failures: number;
+interface HealthRecord {
+  failureRate: number;
   firstByteMs: number;
   at: number;
-  restUntil: number;
-  restMs: number;
+  ejectedUntil: number;
+  ejectionMs: number;
 }
 
-/** Requests on one replica, and since when they wait without a byte from it. */
-interface Hearing {
-  outstanding: number;
-  /** Monotonic time of the last byte, or of the first request after none was outstanding. */
+/** Outstanding requests on one replica, and since when it has sent nothing. */
+interface OutstandingRequests {
+  count: number;
+  /** Monotonic time of the last byte, or of the first request after none was outstanding, in milliseconds. */
   since: number;
 }
 
-/** Failures, latencies and ejections of all replicas. */
+/** Health of all replicas; one that is not known counts as sound. */
 export class ReplicaHealth {
-  private readonly records = new Map<string, Record>();
+  private readonly records = new Map<string, HealthRecord>();
 
-  private readonly hearings = new Map<string, Hearing>();
+  private readonly outstanding = new Map<string, OutstandingRequests>();
 
-  /**
-   * Makes a table that knows of no replica.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
   /**
-   * Notes how an exchange went.
-   * @param replica - The replica.
-   * @param isGood - Whether it answered as it should.
-   * @param firstByteMs - Time to its first byte, when it answered.
+   * Records the outcome of an attempt.
+   * @param firstByteMs - Time to the first byte; undefined when it should not count.
    */
   note(replica: string, isGood: boolean, firstByteMs: number | undefined): void {
-    const record = this.of(replica);
-    record.failures += WEIGHT * ((isGood ? 0 : 1) - record.failures);
-    if (firstByteMs !== undefined) record.firstByteMs += WEIGHT * (firstByteMs - record.firstByteMs);
-    if (isGood) record.restMs = 0;
+    const record = this.decayedRecord(replica);
+    record.failureRate += SAMPLE_WEIGHT * ((isGood ? 0 : 1) - record.failureRate);
+    if (firstByteMs !== undefined) record.firstByteMs += SAMPLE_WEIGHT * (firstByteMs - record.firstByteMs);
+    if (isGood) record.ejectionMs = 0;
   }
 
-  /**
-   * Notes that a replica could not be reached.
-   * @param replica - The replica.
-   */
+  /** Records that a replica could not be reached, and ejects it. */
   unreachable(replica: string): void {
-    const record = this.of(replica);
-    record.restMs = Math.min(MAX_REST_MS, Math.max(FIRST_REST_MS, record.restMs * 2));
-    record.restUntil = this.timers.now() + record.restMs;
+    const record = this.decayedRecord(replica);
+    record.ejectionMs = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, record.ejectionMs * 2));
+    record.ejectedUntil = this.timers.now() + record.ejectionMs;
     this.note(replica, false, undefined);
   }
 
-  /**
-   * Notes that a request is sent.
-   * @param replica - The replica.
-   */
+  /** Records that a request was sent. */
   sent(replica: string): void {
-    const hearing = this.hearings.get(replica) ?? { outstanding: 0, since: 0 };
-    this.hearings.set(replica, hearing);
-    if (hearing.outstanding === 0) hearing.since = this.timers.now();
-    hearing.outstanding += 1;
+    const requests = this.outstanding.get(replica) ?? { count: 0, since: 0 };
+    this.outstanding.set(replica, requests);
+    if (requests.count === 0) requests.since = this.timers.now();
+    requests.count += 1;
   }
 
-  /**
-   * Notes bytes of a replica.
-   * @param replica - The replica.
-   */
+  /** Records that the replica sent bytes. */
   heard(replica: string): void {
-    const hearing = this.hearings.get(replica);
-    if (hearing !== undefined) hearing.since = this.timers.now();
+    const requests = this.outstanding.get(replica);
+    if (requests !== undefined) requests.since = this.timers.now();
   }
 
-  /**
-   * Notes the end of a request.
-   * @param replica - The replica.
-   */
+  /** Records that a request that was sent has ended. */
   ended(replica: string): void {
-    const hearing = this.hearings.get(replica);
-    if (hearing === undefined) return;
-    hearing.outstanding -= 1;
-    if (hearing.outstanding === 0) this.hearings.delete(replica);
+    const requests = this.outstanding.get(replica);
+    if (requests === undefined) return;
+    requests.count -= 1;
+    if (requests.count === 0) this.outstanding.delete(replica);
   }
 
   /**
-   * Tells whether a replica is left alone for now: it could not be reached, or is silent under requests.
-   * @param replica - The replica.
-   * @returns Whether it rests.
+   * Returns whether a replica is ejected: it could not be reached, or it sends nothing although it has
+   * requests.
    */
   isEjected(replica: string): boolean {
     const now = this.timers.now();
-    const hearing = this.hearings.get(replica);
-    if (hearing !== undefined && now - hearing.since > SILENT_MS) return true;
-    return (this.records.get(replica)?.restUntil ?? 0) > now;
+    const requests = this.outstanding.get(replica);
+    if (requests !== undefined && now - requests.since > SILENCE_TIMEOUT_MS) return true;
+    return (this.records.get(replica)?.ejectedUntil ?? 0) > now;
   }
 
   /**
-   * Tells the share of failures of late.
-   * @param replica - The replica.
+   * Returns the moving average of failures.
    * @returns From 0 to 1.
    */
   failureRate(replica: string): number {
-    return this.records.has(replica) ? this.of(replica).failures : 0;
+    return this.records.has(replica) ? this.decayedRecord(replica).failureRate : 0;
   }
 
   /**
-   * Tells the time to the first byte of late.
-   * @param replica - The replica.
+   * Returns the moving average of the time to the first byte.
    * @returns Milliseconds; 0 when unknown.
    */
   firstByteMs(replica: string): number {
-    return this.records.has(replica) ? this.of(replica).firstByteMs : 0;
+    return this.records.has(replica) ? this.decayedRecord(replica).firstByteMs : 0;
   }
 
-  /**
-   * Forgets a replica that is gone.
-   * @param replica - The replica.
-   */
+  /** Removes a replica that no longer exists. */
   forget(replica: string): void {
     this.records.delete(replica);
   }
 
-  private of(replica: string): Record {
+  private decayedRecord(replica: string): HealthRecord {
     const now = this.timers.now();
     let record = this.records.get(replica);
     if (record === undefined) {
-      record = { failures: 0, firstByteMs: 0, at: now, restUntil: 0, restMs: 0 };
+      record = { failureRate: 0, firstByteMs: 0, at: now, ejectedUntil: 0, ejectionMs: 0 };
       this.records.set(replica, record);
     }
-    const kept = Math.exp((record.at - now) / FADE_MS);
-    record.failures *= kept;
-    record.firstByteMs *= kept;
+    const decay = Math.exp((record.at - now) / DECAY_MS);
+    record.failureRate *= decay;
+    record.firstByteMs *= decay;
     record.at = now;
     return record;
   }
--- a/packages/routing/test/chooser.test.ts
+++ b/packages/routing/test/chooser.test.ts
@@ -1,4 +1,4 @@
-/** The choice of an engine: what is full gets no more, and late requests leave places to the others. */
+/** Choice of a replica: full engines get no more requests, and late requests leave slots to the others. */
 import { createManualTimers } from '@celeryyoke/core';
 import type { Need } from '@celeryyoke/routing';
 import {
@@ -14,7 +14,7 @@
 
 import { engineEntry, MODEL } from './fakes.js';
 
-const PLACES = 8;
+const SLOTS = 8;
 
 function setUp() {
   const timers = createManualTimers();
@@ -26,13 +26,13 @@
     record: { kind: RecordKind.Replica as const, replica: engineEntry(id) },
   }));
   view.apply({ from: 0, upTo: 2, isWhole: true, changes });
-  const loads = new InFlightTable(timers);
+  const inFlightTable = new InFlightTable(timers);
   const draws: number[] = [];
   const limited = new Set<string>();
   const chooser = new Chooser({
     registry,
     residency: new ResidencyTable(registry),
-    inFlight: loads,
+    inFlight: inFlightTable,
     health: new ReplicaHealth(timers),
     mayTake: (replica) => !limited.has(replica),
     zone: 'a',
@@ -40,7 +40,7 @@
     random: () => draws.shift() ?? 0,
   });
   const fill = (replica: string, count: number): void => {
-    for (let index = 0; index < count; index += 1) loads.begin(replica, undefined);
+    for (let index = 0; index < count; index += 1) inFlightTable.begin(replica, undefined);
   };
   const choose = (options: Partial<Need> = {}): string | undefined =>
     chooser.choose({
@@ -57,31 +57,31 @@
   return { fill, choose, chooser, view, draws, limited };
 }
 
-test('an engine whose places are taken gets no more, whoever asks', (t) => {
+test('an engine whose slots are all in use gets no further request', (t) => {
   const { fill, choose } = setUp();
-  fill('e1', PLACES);
+  fill('e1', SLOTS);
   t.is(choose(), 'e2');
-  fill('e2', PLACES);
+  fill('e2', SLOTS);
   t.is(choose(), undefined);
 });
 
-test('a stream that has begun elsewhere is not held back by full engines', (t) => {
+test('a stream that already ran elsewhere goes to a full engine', (t) => {
   const { fill, choose } = setUp();
-  fill('e1', PLACES);
-  fill('e2', PLACES + 1);
+  fill('e1', SLOTS);
+  fill('e2', SLOTS + 1);
   t.is(choose({ isUnderWay: true }), 'e1');
 });
 
-test('the last place is kept from late requests and from the least urgent ones', (t) => {
+test('the last slot is not given to late requests or the least urgent ones', (t) => {
   const { fill, choose } = setUp();
-  fill('e1', PLACES);
-  fill('e2', PLACES - 1);
+  fill('e1', SLOTS);
+  fill('e2', SLOTS - 1);
   t.is(choose({ isLate: true }), undefined);
   t.is(choose({ rank: 9, isLate: true }), undefined);
   t.is(choose(), 'e2');
 });
 
-test('a replica that left while a request waited for its turn takes no more', (t) => {
+test('a replica that was removed while a request waited accepts none any more', (t) => {
   const { chooser, view } = setUp();
   t.true(chooser.takesWork(engineEntry('e1')));
   view.apply({
@@ -101,12 +101,13 @@
   t.is(choose(need), 'e2');
   draws.push(0.1, 0.9);
   t.is(choose(need), 'e1');
-  // Chance does not outweigh a replica that is full of this daemon's requests.
-  fill('e1', PLACES);
+  // The random cost does not outweigh slots that are all in use by this daemon's requests.
+  fill('e1', SLOTS);
   draws.push(0, 1);
   t.is(choose(need), 'e2');
 });
-test('a replica that takes no request now is passed over, also where it is the only one', (t) => {
+
+test('a replica at its declared limit is not chosen, even as the only one', (t) => {
   const { choose, limited } = setUp();
   limited.add('e1');
   t.is(choose(), 'e2');
--- a/packages/routing/test/in-flight.test.ts
+++ b/packages/routing/test/in-flight.test.ts
@@ -1,4 +1,6 @@
-/** What is known of requests in flight when each daemon tells only the owner of an engine, and that one all others. */
+/**
+ * Requests in flight: each daemon reports to the owner of an engine, which publishes the sum to all others.
+ */
 import { createManualTimers, decode, encode } from '@celeryyoke/core';
 import type { AdapterInFlight, InFlightFrame, InFlightReport, ReplicaInFlight } from '@celeryyoke/routing';
 import { decodeInFlight, encodeInFlight, InFlightReporter, InFlightTable } from '@celeryyoke/routing';
@@ -31,7 +33,7 @@
   begun,
 });
 
-test('the owner’s sum counts, with what has changed here since it was told', (t) => {
+test('the sum that the owner published is corrected by this daemon’s changes since', (t) => {
   const { table } = setUp();
   const first = table.begin('e', KEY);
   table.takeTotal(onReplica(10, 4));
@@ -42,22 +44,22 @@
   t.deepEqual(table.counts('e'), { running: 10, waiting: 4 });
 });
 
-test('a sum never counts fewer than this daemon’s own requests', (t) => {
+test('the total is never lower than this daemon’s own requests', (t) => {
   const { table } = setUp();
-  const notes = [table.begin('e', undefined), table.begin('e', undefined)];
+  const handles = [table.begin('e', undefined), table.begin('e', undefined)];
   table.takeTotal(onReplica(0, 0));
-  notes[0]!.ended();
+  handles[0]!.ended();
   t.deepEqual(table.counts('e'), { running: 1, waiting: 1 });
 });
 
-test('a sum that is too old does not count', async (t) => {
+test('a published sum expires', async (t) => {
   const { timers, table } = setUp();
   table.takeTotal(onReplica(10, 4));
   await timers.advance(2600);
   t.deepEqual(table.counts('e'), { running: 0, waiting: 0 });
 });
 
-test('the owner sums what each daemon told, once for each, and forgets a silent one', async (t) => {
+test('the owner sums the latest report of each daemon, and a report expires', async (t) => {
   const { timers, table } = setUp();
   table.begin('e', KEY);
   table.take('p', report([onReplica(3, 1)], [onAdapter(KEY, 3, 3)]));
@@ -75,7 +77,7 @@
   t.deepEqual(table.sum('e'), { running: 1, waiting: 1 });
 });
 
-test('the requests of a daemon whose process has ended are forgotten at once', (t) => {
+test('the reports of a daemon whose process has ended are removed at once', (t) => {
   const { table } = setUp();
   table.take('p', report([onReplica(3, 1)], [onAdapter(KEY, 3, 3)]));
   table.forgetPeer('p');
@@ -83,7 +85,7 @@
   t.is(table.runningByAdapter('e').size, 0);
 });
 
-test('a change counts at once, also as a daemon’s first word, and leaves out what has not changed', (t) => {
+test('a partial report counts at once, even as the first, and leaves other counts as they were', (t) => {
   const { table } = setUp();
   table.take('p', report([onReplica(1, 1)], [onAdapter(KEY, 1)], false));
   t.is(table.sum('e').running, 1);
@@ -101,7 +103,7 @@
   );
 });
 
-test('a change told after a long silence does not bring back what was told before', async (t) => {
+test('a partial report after an expired one does not restore the expired counts', async (t) => {
   const { timers, table } = setUp();
   table.take('p', report([onReplica(5, 0)], [onAdapter(KEY, 5, 5)]));
   await timers.advance(3600);
@@ -110,15 +112,15 @@
   t.deepEqual(table.runningByAdapter('e'), new Map([['base/a2', 1]]));
 });
 
-test('a report reads as it was written, in fewer bytes than names would take', (t) => {
-  const line = { replica: 'i-0c3d9aaac9', key: 'dele69a/a7', running: 2, begun: 1 };
-  const told = report([{ replica: 'i-0c3d9aaac9', running: 9, waiting: 3 }], [line], false);
-  const frame = encode(encodeInFlight(told));
-  t.deepEqual(decodeInFlight(decode(frame) as InFlightFrame), told);
+test('a report survives encoding and decoding, and takes less than 60 bytes', (t) => {
+  const adapterRow = { replica: 'i-0c3d9aaac9', key: 'dele69a/a7', running: 2, begun: 1 };
+  const original = report([{ replica: 'i-0c3d9aaac9', running: 9, waiting: 3 }], [adapterRow], false);
+  const frame = encode(encodeInFlight(original));
+  t.deepEqual(decodeInFlight(decode(frame) as InFlightFrame), original);
   t.true(frame.length < 60, `${frame.length} bytes`);
 });
 
-/** A reporter before one engine with an owner. */
+/** Makes a reporter whose one engine has the given owner. */
 function makeReporter(owner: string | undefined) {
   const owners = { current: owner };
   const timers = createManualTimers();
@@ -145,7 +147,7 @@
   return { timers, inFlight, sent, used, running, reporter, owners };
 }
 
-test('many requests that begin together are one message to the owner of their engine', async (t) => {
+test('requests that begin together are reported to the engine’s owner in one message', async (t) => {
   const { timers, inFlight, sent } = makeReporter('b');
   for (let index = 0; index < 50; index += 1) inFlight.begin('e', KEY);
   await timers.advance(20);
@@ -156,7 +158,7 @@
   });
 });
 
-test('what went with a request for admission is not told again', async (t) => {
+test('changes that were sent with an admission request are not reported again', async (t) => {
   const { timers, inFlight, sent, reporter } = makeReporter('b');
   inFlight.begin('e', KEY);
   t.deepEqual(reporter.takeChanges('e').adapters, [onAdapter(KEY, 1, 1)]);
@@ -164,12 +166,12 @@
   t.deepEqual(sent, []);
 });
 
-test('an owner hears the whole again and again, and once that there is nothing left', async (t) => {
+test('an owner gets whole reports periodically, and a last one when no request is left', async (t) => {
   const { timers, inFlight, sent } = makeReporter('b');
-  const note = inFlight.begin('e', KEY);
+  const handle = inFlight.begin('e', KEY);
   await timers.advance(1010);
   t.deepEqual(sent.at(-1)!.report, report([onReplica(1, 1)], [onAdapter(KEY, 1)]));
-  note.ended();
+  handle.ended();
   await timers.advance(2000);
   const wholes = sent.filter((message) => message.report.isWhole);
   t.deepEqual(wholes.at(-1)!.report, report([], []));
@@ -178,8 +180,8 @@
   t.is(sent.length, count);
 });
 
-test('after all daemons have started again, a new owner hears at once what already runs on its engine', async (t) => {
-  // Until somebody owns the engine, requests go to the adapters that its entry names.
+test('after a restart of all daemons, a new owner gets at once what runs on its engine', async (t) => {
+  // While the engine has no owner, requests go to the adapters that its registry entry lists.
   const { timers, inFlight, sent, reporter, owners } = makeReporter(undefined);
   inFlight.begin('e', KEY);
   await timers.advance(100);
@@ -190,7 +192,7 @@
   t.deepEqual(sent, [{ to: 'b', report: report([onReplica(1, 1)], [onAdapter(KEY, 1, 1)], false) }]);
 });
 
-test('requests on an engine of this daemon are counted without a message', async (t) => {
+test('requests on an engine that this daemon owns are counted without a message', async (t) => {
   const { timers, inFlight, sent, used, running } = makeReporter('a');
   inFlight.begin('e', KEY).ended();
   await timers.advance(1100);
