--- a/packages/routing/src/core/shares/fleet-share.ts
+++ b/packages/routing/src/core/shares/fleet-share.ts
@@ -1,9 +1,10 @@
 /**
- * What part of an allowance of the whole fleet a daemon may use by what it knows of the fleet.
+ * Computes the share of a fleet-wide allowance (a quota, a rate, a retry budget) that a daemon may use
+ * without asking the others, from the part of the fleet that it knows.
  *
- * Daemons that have never met do not know each other's number, but all know the same few seeds: a part of the fleet may use
- * the allowance in proportion to the seeds that belong to it. So the parts add up to no more than the whole, whatever each
- * daemon knows.
+ * Daemons that have never met can't count each other, but all are configured with the same few seeds. So a
+ * part of the fleet may use the allowance in proportion to the seeds that it contains, and the shares add up
+ * to no more than the whole, whatever each daemon knows.
  */
 import type { TimerService } from '@celeryyoke/core';
 
@@ -11,103 +12,105 @@
 import { SlidingMax } from './sliding-max.js';
 
 /**
- * Time after its start in which a daemon takes those that it has not met for cut off rather than gone, in milliseconds.
+ * Time after process start in which daemons that were not met yet count as partitioned off rather than gone.
  */
 export const CUT_OFF_MS = 30_000;
 
-/** Options of a share. */
+/** What a {@link FleetShare} reads. */
 export interface FleetShareOptions {
   /** Address of this daemon. */
   readonly self: string;
   readonly cluster: Pick<Cluster, 'alive' | 'possible' | 'member' | 'onMemberChange'>;
-  /** Addresses of daemons that there should be. */
+  /** Addresses of the daemons that the configuration names. */
   readonly seeds: () => readonly string[];
-  /** Whether this daemon has heard of the fleet a moment ago. */
+  /** Whether this daemon's view of the fleet was updated a moment ago. */
   readonly isUpToDate: () => boolean;
-  /** Whether the whole fleet starts for the first time, before any caller. */
+  /** Whether the whole fleet starts for the first time, before any caller has used an allowance. */
   readonly isFirstStart: boolean;
-  /** Longest time for which what was used of an allowance counts, in milliseconds. */
+  /** Longest time for which past use counts against an allowance, in milliseconds. */
   readonly windowMs: number;
   readonly timers: TimerService;
 }
 
-/** The parts of one daemon and of the daemons that reach it. */
+/**
+ * Computes the shares of this daemon, of a daemon that can't reach the deciding one, and of this side of a
+ * partition. All divide by the members that may be running, as a silent one may still use its share.
+ */
 export class FleetShare {
-  private readonly members: SlidingMax;
+  private readonly memberMax: SlidingMax;
 
-  /** Monotonic milliseconds. */
+  /** Monotonic time of process start, in milliseconds. */
   private readonly startedAt: number;
 
-  /** Monotonic time up to which a former life of this daemon may have used its part, in milliseconds. */
-  private readonly usedBeforeUntil: number;
-
-  /** Monotonic time at which a member became known that was not, in milliseconds. */
-  private grewAt = Number.NEGATIVE_INFINITY;
-
   /**
-   * Makes a share that follows the members of the fleet.
-   * @param options - What is known of the fleet.
+   * Monotonic time up to which the use of this daemon's previous process may still count, in milliseconds.
    */
+  private readonly previousUseUntil: number;
+
+  /** Monotonic time at which the last new member became known, in milliseconds. */
+  private lastJoinAt = Number.NEGATIVE_INFINITY;
+
   constructor(private readonly options: FleetShareOptions) {
     const { cluster, timers, isFirstStart, windowMs } = options;
     this.startedAt = timers.now();
-    this.members = new SlidingMax(windowMs);
-    this.members.note(cluster.possible(), timers.now());
-    this.usedBeforeUntil = isFirstStart ? Number.NEGATIVE_INFINITY : this.startedAt + windowMs;
-    cluster.onMemberChange((_record, before) => this.noteMember(before));
+    this.memberMax = new SlidingMax(windowMs);
+    this.memberMax.note(cluster.possible(), timers.now());
+    this.previousUseUntil = isFirstStart ? Number.NEGATIVE_INFINITY : this.startedAt + windowMs;
+    cluster.onMemberChange((_record, before) => this.recordMemberChange(before));
   }
 
   /**
-   * The part that this daemon may use without asking anyone: nothing until the fleet has stopped growing for a window, as
-   * those that are not known yet divide by those that they know.
-   * @returns From 0 to 1; those of all daemons add up to 1 at most.
+   * Returns the share that this daemon may use without asking anyone. It is 0 until no member has joined for
+   * a window, as daemons that this one does not know yet divide by the members that they know.
+   * @returns From 0 to 1; the shares of all daemons add up to 1 at most.
    */
   own(): number {
     const { timers, isUpToDate, windowMs } = this.options;
     const now = timers.now();
-    const isGrowing = now - this.grewAt < windowMs;
-    if (now < this.usedBeforeUntil || isGrowing || this.isAlone() || !isUpToDate()) return 0;
-    return this.metSeeds() / this.members.note(this.options.cluster.possible(), now);
+    const isGrowing = now - this.lastJoinAt < windowMs;
+    if (now < this.previousUseUntil || isGrowing || this.isIsolated() || !isUpToDate()) return 0;
+    return this.knownSeedShare() / this.memberMax.note(this.options.cluster.possible(), now);
   }
 
   /**
-   * The part that the daemons may use together that reach this one and follow the same rule.
-   * @returns From 0 to 1; those of the sides of a partition add up to 1 at most.
+   * Returns the share that this daemon and those that it reaches may use together, when all follow the same
+   * rule.
+   * @returns From 0 to 1; the shares of the sides of a partition add up to 1 at most.
    */
   side(): number {
     const { cluster, isUpToDate } = this.options;
-    const reached = isUpToDate() ? cluster.alive().length : 1;
-    return this.one() * reached;
+    const reachable = isUpToDate() ? cluster.alive().length : 1;
+    return this.one() * reachable;
   }
 
   /**
-   * The part of one daemon that can't reach the one which decides for all.
+   * Returns the share of one daemon that can't reach the daemon that decides for all.
    * @returns From 0 to 1.
    */
   one(): number {
     const { cluster, timers } = this.options;
-    const isMeeting = timers.now() - this.startedAt < CUT_OFF_MS;
-    return (isMeeting ? this.metSeeds() : 1) / Math.max(1, cluster.possible());
+    const isDiscovering = timers.now() - this.startedAt < CUT_OFF_MS;
+    return (isDiscovering ? this.knownSeedShare() : 1) / Math.max(1, cluster.possible());
   }
 
-  /** Part of the seeds that this daemon has met; 1 where there are none besides itself. */
-  private metSeeds(): number {
+  /** Returns the share of the seeds that this daemon has met; 1 where there are none besides itself. */
+  private knownSeedShare(): number {
     const { self, seeds, cluster } = this.options;
     const all = seeds();
     if (all.every((seed) => seed === self)) return 1;
     return all.filter((seed) => cluster.member(seed) !== undefined).length / all.length;
   }
 
-  /** Whether this daemon meets none of those that there should be. */
-  private isAlone(): boolean {
+  /** Whether this daemon knows no other although seeds are configured. */
+  private isIsolated(): boolean {
     const { self, seeds, cluster } = this.options;
     return cluster.possible() <= 1 && seeds().some((seed) => seed !== self);
   }
 
-  private noteMember(before: MemberRecord | undefined): void {
+  private recordMemberChange(before: MemberRecord | undefined): void {
     const { cluster, timers } = this.options;
     const now = timers.now();
-    if (before === undefined) this.grewAt = now;
-    this.members.note(cluster.possible(), now);
+    if (before === undefined) this.lastJoinAt = now;
+    this.memberMax.note(cluster.possible(), now);
   }
 }
--- a/packages/routing/src/core/shares/sliding-max.ts
+++ b/packages/routing/src/core/shares/sliding-max.ts
@@ -1,35 +1,32 @@
-/** The largest value that held within a window that slides with time. */
+/** Largest value that was current at any time within a sliding time window. */
 
-/** A value that another one has replaced. */
-interface Former {
+/** A value that was replaced. */
+interface PreviousValue {
   readonly value: number;
-  /** Monotonic time up to which it held, in milliseconds. */
+  /** Monotonic time up to which it was current, in milliseconds. */
   readonly until: number;
 }
 
-/** The largest value in a sliding window. */
+/**
+ * Tracks the largest value in a sliding window. It stores only replaced values that can still be the largest.
+ */
 export class SlidingMax {
   private current = Number.NEGATIVE_INFINITY;
 
-  /** Values that held, the last one last; each is larger than those after it. */
-  private former: Former[] = [];
+  /** Replaced values, oldest first; each is larger than those after it. */
+  private previous: PreviousValue[] = [];
 
-  /**
-   * Makes an empty window.
-   * @param windowMs - Its length, in milliseconds.
-   */
   constructor(private readonly windowMs: number) {}
 
   /**
-   * Notes the value that holds from now on.
-   * @param value - The value.
+   * Sets the value that is current from now on.
    * @param now - Monotonic milliseconds.
    * @returns The largest value within the window.
    */
   note(value: number, now: number): number {
-    if (value < this.current) this.former.push({ value: this.current, until: now });
+    if (value < this.current) this.previous.push({ value: this.current, until: now });
     this.current = value;
-    this.former = this.former.filter((held) => held.value > value && held.until > now - this.windowMs);
-    return this.former[0]?.value ?? value;
+    this.previous = this.previous.filter((entry) => entry.value > value && entry.until > now - this.windowMs);
+    return this.previous[0]?.value ?? value;
   }
 }
