--- a/packages/routing/src/core/pacing/admission.ts
+++ b/packages/routing/src/core/pacing/admission.ts
@@ -1,9 +1,9 @@
 /**
- * Admits prompts to engines: one question to the owner of the engine for each generation.
+ * Admits prompts to engines: for each generation, the sender asks the owner of the engine once.
  *
- * The owner knows which adapters are resident and what all daemons have in flight, so its answer is exact where the
- * sender's own view is a little old. The request counts at the owner from then on, so that its adapter stays. Without
- * an answer the prompt goes at once.
+ * The owner knows which adapters are resident and what all daemons have in flight, so its decision is exact
+ * where the sender's own view is slightly stale. From then on the owner counts the request, so that its
+ * adapter is not evicted. Without a response from the owner, the prompt is sent at once.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
@@ -15,19 +15,23 @@
 import type { AdmissionFrame, DecisionFrame } from './admission-codec.js';
 import { decodeAdmission, decodeDecision, encodeAdmission, encodeDecision } from './admission-codec.js';
 import { PromptPacer } from './pacer.js';
-import { ReadingRate } from './reading-rate.js';
-import type { AdmissionDecision, AdmissionRequest, Prompt, Reading } from './types.js';
+import { PrefillRate } from './prefill-rate.js';
+import type { AdmissionDecision, AdmissionRequest, Prompt, PrefillSample } from './types.js';
 import { Verdict } from './types.js';
 
-/** Longest wait for the owner's answer, in milliseconds. */
-const ANSWER_MS = 40;
-/** Milliseconds for a token before anything is measured. */
-const FIRST_GUESS_MS = 0.04;
-/** Readings kept of an engine until it is next asked for. */
-const MAX_READINGS = 8;
-const UNHEARD: AdmissionDecision = { verdict: Verdict.Admitted, delayMs: 0, counts: undefined };
+/** Timeout of the call to the owner. */
+const OWNER_TIMEOUT_MS = 40;
+/** Prefill time of a token until enough is measured. */
+const INITIAL_MS_PER_TOKEN = 0.04;
+/** Samples of one engine that are stored until the next admission request reports them to its owner. */
+const MAX_UNREPORTED_SAMPLES = 8;
+const ADMITTED_WITHOUT_OWNER: AdmissionDecision = {
+  verdict: Verdict.Admitted,
+  delayMs: 0,
+  counts: undefined,
+};
 
-/** What admission uses of the daemon. */
+/** Parts of the daemon that admission uses. */
 export interface PromptAdmissionOptions {
   /** Address of this daemon. */
   readonly self: string;
@@ -36,30 +40,30 @@
   readonly registry: Pick<ReplicaRegistry, 'onReplica' | 'replica'>;
   readonly timers: TimerService;
   readonly log: DecisionLog;
-  /** Takes the changes of this daemon's requests on an engine out, to be sent along. */
+  /** Returns this daemon's changes on an engine that are not reported yet, and marks them as reported. */
   readonly takeChanges: (replica: string) => InFlightReport;
-  /** Takes what a peer told of its requests on an engine that this daemon owns. */
+  /** Merges a peer's report of its requests on an engine that this daemon owns. */
   readonly takeReport: (peer: string, report: InFlightReport) => void;
-  /** Tells whether an adapter is resident on an engine that this daemon owns; undefined when it does not know. */
+  /**
+   * Returns whether an adapter is resident on an engine that this daemon owns; undefined when that is
+   * unknown.
+   */
   readonly isResident: (replica: string, key: string) => boolean | undefined;
-  /** Counts the requests of all daemons on an engine that this daemon owns. */
+  /** Returns the requests of all daemons on an engine that this daemon owns. */
   readonly counts: (replica: string) => Counts;
 }
 
-/** Admits prompts to the engines that this daemon owns, and asks for those of the others. */
+/** Decides on prompts for the engines that this daemon owns, and asks the owners of the others. */
 export class PromptAdmission {
   private readonly pacers = new Map<string, PromptPacer>();
 
-  /** What this daemon has seen of engines and has not told yet. */
-  private readonly readings = new Map<string, Reading[]>();
+  /** Prefill samples of this daemon, by engine, that its owner does not have yet. */
+  private readonly unreportedSamples = new Map<string, PrefillSample[]>();
 
-  /** How fast the engines of each service read. */
-  private readonly rates = new Map<string, ReadingRate>();
+  /** Prefill rates by service. */
+  private readonly prefillRates = new Map<string, PrefillRate>();
 
-  /**
-   * Makes one that knows nothing yet.
-   * @param options - The daemon's parts.
-   */
+  /** Registers the handler of admission requests, and drops the state of replicas that are removed. */
   constructor(private readonly options: PromptAdmissionOptions) {
     const { cluster, registry, takeReport } = options;
     cluster.handle(MessageType.Admission, ({ address }, frame: AdmissionFrame) => {
@@ -70,80 +74,74 @@
     registry.onReplica((id, entry) => {
       if (entry !== undefined) return;
       this.pacers.delete(id);
-      this.readings.delete(id);
+      this.unreportedSamples.delete(id);
     });
   }
 
   /**
    * Asks the owner of an engine to admit a prompt.
-   * @param replica - The engine.
-   * @param key - `model/adapter`, where the prompt needs an adapter.
-   * @param places - Most requests that the engine may have in flight with this one.
-   * @param prompt - The prompt.
-   * @returns The owner's decision; at once when nobody answers.
+   * @param key - `model/adapter`; undefined without an adapter.
+   * @param maxInFlight - Highest number of requests that the engine may have in flight, this one included.
+   * @returns The owner's decision; admitted without a delay when there is no owner or it does not respond.
    */
   async admit(
     replica: string,
     key: string | undefined,
-    places: number,
+    maxInFlight: number,
     prompt: Prompt,
   ): Promise<AdmissionDecision> {
     const { leases, self, cluster, log, takeChanges } = this.options;
     const owner = leases.of(replica)?.holder;
-    if (owner === undefined) return UNHEARD;
-    const readings = this.readings.get(replica) ?? [];
-    this.readings.delete(replica);
+    if (owner === undefined) return ADMITTED_WITHOUT_OWNER;
+    const prefillSamples = this.unreportedSamples.get(replica) ?? [];
+    this.unreportedSamples.delete(replica);
     const inFlight = takeChanges(replica);
-    const request: AdmissionRequest = { ...prompt, replica, key, places, readings, inFlight };
+    const request: AdmissionRequest = { ...prompt, replica, key, maxInFlight, prefillSamples, inFlight };
     if (owner === self) return this.decide(request);
     try {
       const frame = encodeAdmission(request);
-      const answer = await cluster.request(owner, MessageType.Admission, frame, ANSWER_MS);
-      return decodeDecision(answer as DecisionFrame);
+      const response = await cluster.request(owner, MessageType.Admission, frame, OWNER_TIMEOUT_MS);
+      return decodeDecision(response as DecisionFrame);
     } catch (err) {
-      log.debug(`No admission to ${replica} from ${owner}: ${String(err)}.`);
-      return UNHEARD;
+      log.debug(`No admission decision for ${replica} from its owner ${owner}: ${String(err)}.`);
+      return ADMITTED_WITHOUT_OWNER;
     }
   }
 
   /**
-   * Notes how long an engine took to its first event.
-   * @param replica - The engine.
-   * @param reading - The prompt and its first event.
+   * Records the time that an engine took to the first event, for this daemon's estimate and for the owner.
    */
-  noteFirstEvent({ id, service }: ReplicaEntry, reading: Reading): void {
-    this.rate(service).note(reading);
-    const readings = this.readings.get(id) ?? [];
-    this.readings.set(id, [...readings, reading].slice(-MAX_READINGS));
+  noteFirstEvent({ id, service }: ReplicaEntry, sample: PrefillSample): void {
+    this.prefillRateOf(service).addSample(sample);
+    const samples = this.unreportedSamples.get(id) ?? [];
+    this.unreportedSamples.set(id, [...samples, sample].slice(-MAX_UNREPORTED_SAMPLES));
   }
 
   /**
-   * Tells how long a prompt takes to be read.
-   * @param service - Service of the engine.
-   * @param tokens - Its tokens.
+   * Estimates the prefill time of a prompt on an engine of a service.
    * @returns Milliseconds.
    */
   readingMs(service: string, tokens: number): number {
-    return this.rate(service).msPerToken * tokens;
+    return this.prefillRateOf(service).msPerToken * tokens;
   }
 
   private decide(request: AdmissionRequest): AdmissionDecision {
     const { registry, timers, isResident } = this.options;
-    const { replica, key, places } = request;
+    const { replica, key, maxInFlight } = request;
     const service = registry.replica(replica)?.service;
-    if (service === undefined) return UNHEARD;
+    if (service === undefined) return ADMITTED_WITHOUT_OWNER;
     const counts = this.options.counts(replica);
     if (key !== undefined && isResident(replica, key) === false)
       return { verdict: Verdict.NotResident, delayMs: 0, counts };
-    if (counts.running > places) return { verdict: Verdict.Full, delayMs: 0, counts };
-    const pacer = this.pacers.get(replica) ?? new PromptPacer(() => this.rate(service).msPerToken);
+    if (counts.running > maxInFlight) return { verdict: Verdict.Full, delayMs: 0, counts };
+    const pacer = this.pacers.get(replica) ?? new PromptPacer(() => this.prefillRateOf(service).msPerToken);
     this.pacers.set(replica, pacer);
     return { verdict: Verdict.Admitted, delayMs: pacer.delayMs(request, timers.now()), counts };
   }
 
-  private rate(service: string): ReadingRate {
-    const rate = this.rates.get(service) ?? new ReadingRate(() => FIRST_GUESS_MS);
-    this.rates.set(service, rate);
+  private prefillRateOf(service: string): PrefillRate {
+    const rate = this.prefillRates.get(service) ?? new PrefillRate(() => INITIAL_MS_PER_TOKEN);
+    this.prefillRates.set(service, rate);
     return rate;
   }
 }
--- a/packages/routing/src/core/pacing/pacer.ts
+++ b/packages/routing/src/core/pacing/pacer.ts
@@ -1,93 +1,93 @@
 /**
- * Spaces out the prompts of one engine.
+ * Spaces the prompts that are sent to one engine.
  *
- * An engine reads prompts in pieces between the tokens of all its streams, so prompts that come together stretch every
- * pause of every stream there: 10,000 tokens at once made up to 19 streams late, while each of these prompts had half a
- * second to spare. So no more is sent within the longest pause than the engine reads in a part of it.
+ * An engine prefills in chunks between the tokens of all its streams, so prompts that arrive together widen
+ * every gap of every stream there: 10,000 tokens at once made up to 19 streams late, while each of these
+ * prompts had half a second to spare. So within the longest allowed gap, no more tokens are sent than the
+ * engine prefills in a share of that time.
  */
-import { ReadingRate } from './reading-rate.js';
+import { PrefillRate } from './prefill-rate.js';
 import type { AdmissionRequest } from './types.js';
 
-/** What the pacer looks at of a request for admission. */
-type PacedPrompt = Pick<AdmissionRequest, 'tokens' | 'maxPauseMs' | 'patienceMs' | 'readings'>;
+/** The fields of an admission request that the pacer reads. */
+type PacedPrompt = Pick<AdmissionRequest, 'tokens' | 'maxPauseMs' | 'patienceMs' | 'prefillSamples'>;
 
 /**
- * Part of the longest pause that may go to reading; the rest is for the tokens of the streams themselves and for what is
- * known late.
+ * Share of the longest allowed gap that may go to prefill. The rest is for the streams' own tokens and for
+ * what the owner learns late.
  */
-const READING_SHARE = 0.85;
-/** Time over which it is measured how much of an engine's time goes to reading, in milliseconds. */
-const USE_MS = 2000;
+const PREFILL_SHARE = 0.85;
+/** Time constant with which the engine's prefill load decays. */
+const USE_DECAY_MS = 2000;
 
-interface Sent {
+interface ScheduledPrompt {
   /** Monotonic milliseconds. */
   readonly at: number;
   readonly tokens: number;
 }
 
-/** The prompts of one engine. */
+/** Computes the delay of each prompt for one engine. */
 export class PromptPacer {
-  /** Prompts sent or promised within the longest pause, in the order of their times. */
-  private recent: Sent[] = [];
+  /** Prompts that start within the longest allowed gap or later, in the order of their times. */
+  private scheduled: ScheduledPrompt[] = [];
 
-  private readonly rate: ReadingRate;
+  private readonly rate: PrefillRate;
 
-  /** Reading that was asked for of late, in milliseconds, fading over {@link USE_MS}. */
-  private readingMs = 0;
+  /** Prefill that was requested, in milliseconds, decaying over {@link USE_DECAY_MS}. */
+  private prefillMs = 0;
 
-  private askedAt = 0;
+  private lastRequestAt = 0;
 
   /**
-   * Makes one that has sent nothing.
-   * @param guess - Milliseconds for a token before enough is known of this engine.
+   * @param initialMsPerToken - Prefill time of a token until enough is measured on this engine.
    */
-  constructor(guess: () => number) {
-    this.rate = new ReadingRate(guess);
+  constructor(initialMsPerToken: () => number) {
+    this.rate = new PrefillRate(initialMsPerToken);
   }
 
   /**
-   * Gives a prompt its time.
-   * @param prompt - The prompt and its bounds.
+   * Schedules a prompt.
    * @param now - Monotonic milliseconds.
-   * @returns How long to hold it back, in milliseconds.
+   * @returns Time for which the sender must delay it, in milliseconds.
    */
-  delayMs({ tokens, maxPauseMs, patienceMs, readings }: PacedPrompt, now: number): number {
-    for (const reading of readings) this.rate.note(reading);
-    this.recent = this.recent.filter(({ at }) => at > now - maxPauseMs);
-    const most = (maxPauseMs * READING_SHARE) / this.rate.msPerToken;
-    const longestMs = patienceMs * this.slack(tokens, now);
-    const at = Math.min(this.earliest(tokens, most, maxPauseMs, now), now + longestMs);
+  delayMs({ tokens, maxPauseMs, patienceMs, prefillSamples }: PacedPrompt, now: number): number {
+    for (const sample of prefillSamples) this.rate.addSample(sample);
+    this.scheduled = this.scheduled.filter(({ at }) => at > now - maxPauseMs);
+    const maxTokens = (maxPauseMs * PREFILL_SHARE) / this.rate.msPerToken;
+    const allowedDelayMs = patienceMs * this.delayShare(tokens, now);
+    const at = Math.min(this.earliestStart(tokens, maxTokens, maxPauseMs, now), now + allowedDelayMs);
     this.insert({ at, tokens });
     return at - now;
   }
 
   /**
-   * How much of its patience a prompt is to use, from 0 to 1. A burst drains while it is held back; where prompts come
-   * about as fast as they can be read, it never does, and all would be late by their waits. With full patience whatever
-   * comes, sites under such load earned 0.04 to 0.05 less than without any spacing.
+   * Returns the share, from 0 to 1, of its longest delay that a prompt may be delayed. Delays flatten a
+   * burst, but where prompts arrive about as fast as the engine prefills, the backlog never drains and every
+   * prompt would be late by its delay. With the full delay at any load, sites under such load earned 0.04 to
+   * 0.05 less than without spacing.
    */
-  private slack(tokens: number, now: number): number {
-    this.readingMs *= Math.exp((this.askedAt - now) / USE_MS);
-    this.askedAt = now;
-    const use = this.readingMs / USE_MS;
-    this.readingMs += tokens * this.rate.msPerToken;
-    return Math.max(0, 1 - use / READING_SHARE);
+  private delayShare(tokens: number, now: number): number {
+    this.prefillMs *= Math.exp((this.lastRequestAt - now) / USE_DECAY_MS);
+    this.lastRequestAt = now;
+    const use = this.prefillMs / USE_DECAY_MS;
+    this.prefillMs += tokens * this.rate.msPerToken;
+    return Math.max(0, 1 - use / PREFILL_SHARE);
   }
 
-  /** The first moment at which a prompt fits behind those before it; a large one goes when it is alone. */
-  private earliest(tokens: number, most: number, windowMs: number, now: number): number {
-    let room = most - tokens;
-    for (let index = this.recent.length - 1; index >= 0; index -= 1) {
-      const { at, tokens: sent } = this.recent[index]!;
-      room -= sent;
-      if (room < 0) return Math.max(now, at + windowMs, this.recent.at(-1)!.at);
+  /** Returns the earliest time at which a prompt fits behind the scheduled ones; a large one goes alone. */
+  private earliestStart(tokens: number, maxTokens: number, windowMs: number, now: number): number {
+    let remaining = maxTokens - tokens;
+    for (let index = this.scheduled.length - 1; index >= 0; index -= 1) {
+      const { at, tokens: scheduledTokens } = this.scheduled[index]!;
+      remaining -= scheduledTokens;
+      if (remaining < 0) return Math.max(now, at + windowMs, this.scheduled.at(-1)!.at);
     }
-    return Math.max(now, this.recent.at(-1)?.at ?? now);
+    return Math.max(now, this.scheduled.at(-1)?.at ?? now);
   }
 
-  private insert(sent: Sent): void {
-    let index = this.recent.length;
-    while (index > 0 && this.recent[index - 1]!.at > sent.at) index -= 1;
-    this.recent.splice(index, 0, sent);
+  private insert(prompt: ScheduledPrompt): void {
+    let index = this.scheduled.length;
+    while (index > 0 && this.scheduled[index - 1]!.at > prompt.at) index -= 1;
+    this.scheduled.splice(index, 0, prompt);
   }
 }
--- a/packages/routing/src/core/pacing/types.ts
+++ b/packages/routing/src/core/pacing/types.ts
@@ -1,8 +1,8 @@
-/** When prompts may be sent to engines. */
+/** Messages and decisions of prompt admission. */
 import type { Counts, InFlightReport } from '../choice/index.js';
 
-/** How long an engine took to the first event of an answer. */
-export interface Reading {
+/** The prefill of one prompt, measured as the time to the first event of the response. */
+export interface PrefillSample {
   /** Tokens of the prompt. */
   readonly tokens: number;
   /** Time from the send to the first event, in milliseconds. */
@@ -11,42 +11,42 @@
 
 /** A prompt that is to be sent to an engine. */
 export interface Prompt {
-  /** Tokens to read. */
+  /** Tokens to prefill. */
   readonly tokens: number;
-  /** Longest pause between two events of a stream for which its answer is still on time, in milliseconds. */
+  /** Longest gap between two events with which a stream is still on time, in milliseconds. */
   readonly maxPauseMs: number;
-  /** Longest time for which the prompt may be held back, in milliseconds. */
+  /** Longest delay that the prompt can afford, in milliseconds. */
   readonly patienceMs: number;
 }
 
-/** Asks the owner of an engine to admit a prompt there. */
+/** A request to the owner of an engine to admit a prompt there. */
 export interface AdmissionRequest extends Prompt {
   /** The engine. */
   readonly replica: string;
   /** `model/adapter`; undefined where the prompt needs the base model only. */
   readonly key: string | undefined;
-  /** Most requests that the engine may have in flight with this one. */
-  readonly places: number;
-  /** What the sender has seen of this engine since it asked last; engines of one service differ in speed. */
-  readonly readings: readonly Reading[];
+  /** Highest number of requests that the engine may have in flight, this one included. */
+  readonly maxInFlight: number;
+  /** The sender's samples of this engine since its last request; engines of one service differ in speed. */
+  readonly prefillSamples: readonly PrefillSample[];
   /** Changes of the sender's requests on the engine, this one included. */
   readonly inFlight: InFlightReport;
 }
 
-/** What the owner of an engine says of a prompt. */
+/** The owner's decision on a prompt. */
 export enum Verdict {
   Admitted = 0,
   /** The adapter is not resident. */
   NotResident = 1,
-  /** The engine has no place for it. */
+  /** All slots that the prompt may use are taken. */
   Full = 2,
 }
 
-/** The owner's answer. */
+/** The owner's response to an admission request. */
 export interface AdmissionDecision {
   readonly verdict: Verdict;
-  /** How long to hold the prompt back, in milliseconds. */
+  /** Time for which the sender must delay the prompt, in milliseconds. */
   readonly delayMs: number;
-  /** Requests on the engine over all daemons, this one included; undefined when nobody answered. */
+  /** Requests on the engine over all daemons, this one included; undefined when the owner did not respond. */
   readonly counts: Counts | undefined;
 }
