--- a/packages/routing/src/core/pacing/admission-codec.ts
+++ b/packages/routing/src/core/pacing/admission-codec.ts
@@ -12,8 +12,8 @@
   key: string | null,
   maxInFlight: number,
   tokens: number,
-  maxPauseMs: number,
-  patienceMs: number,
+  maxGapMs: number,
+  maxDelayMs: number,
   prefillSamples: readonly (readonly [tokens: number, ms: number])[],
   inFlight: InFlightFrame,
 ];
@@ -23,15 +23,24 @@
 
 /** Encodes an admission request. */
 export function encodeAdmission(request: AdmissionRequest): AdmissionFrame {
-  const { replica, key, maxInFlight, tokens, maxPauseMs, patienceMs, prefillSamples, inFlight } = request;
+  const {
+    replica,
+    key,
+    maxInFlight,
+    tokens,
+    maxPauseMs: gapLimitMs,
+    patienceMs: delayLimitMs,
+    prefillSamples,
+    inFlight,
+  } = request;
   const samples = prefillSamples.map((sample) => [sample.tokens, Math.round(sample.ms)] as const);
   return [
     replica,
     key ?? null,
     maxInFlight,
     tokens,
-    maxPauseMs,
-    Math.round(patienceMs),
+    gapLimitMs,
+    Math.round(delayLimitMs),
     samples,
     encodeInFlight(inFlight),
   ];
@@ -39,14 +48,14 @@
 
 /** Decodes an admission request. */
 export function decodeAdmission(frame: AdmissionFrame): AdmissionRequest {
-  const [replica, key, maxInFlight, tokens, maxPauseMs, patienceMs, prefillSamples, inFlight] = frame;
+  const [replica, key, maxInFlight, tokens, gapLimitMs, delayLimitMs, prefillSamples, inFlight] = frame;
   return {
     replica,
     key: key ?? undefined,
     maxInFlight,
     tokens,
-    maxPauseMs,
-    patienceMs,
+    maxPauseMs: gapLimitMs,
+    patienceMs: delayLimitMs,
     prefillSamples: prefillSamples.map(([sampleTokens, ms]) => ({ tokens: sampleTokens, ms })),
     inFlight: decodeInFlight(inFlight),
   };
--- a/packages/routing/src/core/pacing/admission.ts
+++ b/packages/routing/src/core/pacing/admission.ts
@@ -14,7 +14,7 @@
 import type { ReplicaRegistry, ReplicaEntry } from '../view/index.js';
 import type { AdmissionFrame, DecisionFrame } from './admission-codec.js';
 import { decodeAdmission, decodeDecision, encodeAdmission, encodeDecision } from './admission-codec.js';
-import { PromptPacer } from './pacer.js';
+import { PromptPacer } from './prompt-pacer.js';
 import { PrefillRate } from './prefill-rate.js';
 import type { AdmissionDecision, AdmissionRequest, Prompt, PrefillSample } from './types.js';
 import { Verdict } from './types.js';
--- a/packages/routing/src/core/pacing/pacer.ts
+++ b/packages/routing/src/core/pacing/prompt-pacer.ts
@@ -7,10 +7,10 @@
  * engine prefills in a share of that time.
  */
 import { PrefillRate } from './prefill-rate.js';
-import type { AdmissionRequest } from './types.js';
+import type { AdmissionRequest, Prompt } from './types.js';
 
 /** The fields of an admission request that the pacer reads. */
-type PacedPrompt = Pick<AdmissionRequest, 'tokens' | 'maxPauseMs' | 'patienceMs' | 'prefillSamples'>;
+type PacedPrompt = Prompt & Pick<AdmissionRequest, 'prefillSamples'>;
 
 /**
  * Share of the longest allowed gap that may go to prefill. The rest is for the streams' own tokens and for
@@ -50,12 +50,15 @@
    * @param now - Monotonic milliseconds.
    * @returns Time for which the sender must delay it, in milliseconds.
    */
-  delayMs({ tokens, maxPauseMs, patienceMs, prefillSamples }: PacedPrompt, now: number): number {
+  delayMs(
+    { tokens, maxPauseMs: gapLimitMs, patienceMs: delayLimitMs, prefillSamples }: PacedPrompt,
+    now: number,
+  ): number {
     for (const sample of prefillSamples) this.rate.addSample(sample);
-    this.scheduled = this.scheduled.filter(({ at }) => at > now - maxPauseMs);
-    const maxTokens = (maxPauseMs * PREFILL_SHARE) / this.rate.msPerToken;
-    const allowedDelayMs = patienceMs * this.delayShare(tokens, now);
-    const at = Math.min(this.earliestStart(tokens, maxTokens, maxPauseMs, now), now + allowedDelayMs);
+    this.scheduled = this.scheduled.filter(({ at }) => at > now - gapLimitMs);
+    const maxTokens = (gapLimitMs * PREFILL_SHARE) / this.rate.msPerToken;
+    const allowedDelayMs = delayLimitMs * this.delayShare(tokens, now);
+    const at = Math.min(this.earliestStart(tokens, maxTokens, gapLimitMs, now), now + allowedDelayMs);
     this.insert({ at, tokens });
     return at - now;
   }
--- a/packages/routing/test/pacing.test.ts
+++ b/packages/routing/test/pacing.test.ts
@@ -5,8 +5,8 @@
  * The engines prefill 40 tokens in a millisecond, and the longest allowed gap is 300 ms.
  */
 import { createManualTimers } from '@celeryyoke/core';
-import type { AdmissionRequest, Member, PeerChannel, ReplicaEntry } from '@celeryyoke/routing';
-import { InFlightTable, PromptAdmission, PromptPacer, ReadingRate, Verdict } from '@celeryyoke/routing';
+import type { AdmissionRequest, Member, PeerChannel, Prompt, ReplicaEntry } from '@celeryyoke/routing';
+import { InFlightTable, PromptAdmission, PromptPacer, PrefillRate, Verdict } from '@celeryyoke/routing';
 import test from 'ava';
 import fc from 'fast-check';
 
@@ -17,7 +17,7 @@
 const promptOf = (
   tokens: number,
   maxDelayMs = 10_000,
-): Pick<AdmissionRequest, 'tokens' | 'maxPauseMs' | 'patienceMs' | 'prefillSamples'> => ({
+): Prompt & Pick<AdmissionRequest, 'prefillSamples'> => ({
   tokens,
   maxPauseMs: MAX_GAP_MS,
   patienceMs: maxDelayMs,
@@ -79,7 +79,7 @@
 });
 
 test('the prefill time of a token is estimated from first events, whatever queue delay they contain', (t) => {
-  const rate = new ReadingRate(() => 0.04);
+  const rate = new PrefillRate(() => 0.04);
   const before = rate.msPerToken;
   for (let index = 0; index < 200; index += 1) {
     const tokens = 200 + ((index * 397) % 5000);
