--- a/packages/routing/src/core/limits/index.ts
+++ b/packages/routing/src/core/limits/index.ts
@@ -1,4 +1,4 @@
-/** Rates that replicas in need state, kept by the whole fleet. */
+/** Rate limits that overloaded replicas declare, enforced over the whole fleet. */
 export { LimitTable } from './limit-table.js';
 export type { ReplicaLimitsOptions } from './replica-limits.js';
 export { ReplicaLimits } from './replica-limits.js';
--- a/packages/routing/src/core/limits/limit-table.ts
+++ b/packages/routing/src/core/limits/limit-table.ts
@@ -1,98 +1,87 @@
-/** The limits that replicas state, as this daemon knows them. */
+/** The rate limits that replicas declare, as far as this daemon knows them. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { ReplicaLimitRow } from './types.js';
 
-/** Time after the last word of a limit from which an answer without one ends it, in milliseconds. */
-const SETTLED_MS = 500;
+/** Time after the last confirmation of a limit before which a response without a limit does not end it. */
+const MIN_LIMIT_AGE_MS = 500;
 
-/** A row and when it was last confirmed. */
-interface Known {
+/** A row and when its limit was last confirmed. */
+interface KnownLimit {
   readonly row: ReplicaLimitRow;
-  /** Monotonic time at which this daemon last heard of the limit, in milliseconds. */
-  heardAt: number;
+  /** Monotonic time at which this daemon last received or saw the limit, in milliseconds. */
+  confirmedAt: number;
 }
 
-/** The latest row of each replica. */
+/** Stores the latest row of each replica, merged from responses and from other daemons. */
 export class LimitTable {
-  private readonly known = new Map<string, Known>();
+  private readonly known = new Map<string, KnownLimit>();
 
-  /**
-   * Makes an empty table.
-   * @param timers - Time.
-   */
   constructor(private readonly timers: TimerService) {}
 
   /**
-   * Tells the rate that a replica takes.
-   * @param replica - One start of it.
-   * @returns Requests a second; undefined when it states none.
+   * Returns the rate limit of a replica.
+   * @returns Requests per second; undefined when it declares none.
    */
   rate(replica: string): number | undefined {
     return this.known.get(replica)?.row.ratePerSecond;
   }
 
-  /**
-   * Finds the row of a replica.
-   * @param replica - One start of it.
-   * @returns The row, or undefined when it never stated a limit.
-   */
+  /** Returns the row of a replica, or undefined when it never declared a limit. */
   get(replica: string): ReplicaLimitRow | undefined {
     return this.known.get(replica)?.row;
   }
 
   /**
-   * Takes a row of another daemon.
-   * @param row - The row.
-   * @returns Whether it was news.
+   * Merges a row of another daemon.
+   * @returns Whether it replaced the known one.
    */
   merge(row: ReplicaLimitRow): boolean {
     const known = this.known.get(row.replica);
-    if (known !== undefined && !isLater(row, known.row)) return false;
-    this.known.set(row.replica, { row, heardAt: this.timers.now() });
+    if (known !== undefined && !supersedes(row, known.row)) return false;
+    this.known.set(row.replica, { row, confirmedAt: this.timers.now() });
     return true;
   }
 
   /**
-   * Learns from an answer.
-   * @param replica - Who answered.
-   * @param ratePerSecond - The limit that the answer names; undefined when it names none.
+   * Updates the limit of a replica from a response.
+   * @param ratePerSecond - The limit in the response; undefined when it declares none.
    * @param sentAt - Monotonic time at which the request was sent, in milliseconds.
    * @returns The new row, or undefined when nothing has changed.
    */
-  noteAnswer(
+  updateFromResponse(
     replica: string,
     ratePerSecond: number | undefined,
     sentAt: number,
   ): ReplicaLimitRow | undefined {
     const known = this.known.get(replica);
     if (known?.row.ratePerSecond === ratePerSecond) {
-      if (known !== undefined && ratePerSecond !== undefined) known.heardAt = this.timers.now();
+      if (known !== undefined && ratePerSecond !== undefined) known.confirmedAt = this.timers.now();
       return undefined;
     }
-    // The answer may have been on its way before the limit was stated.
-    if (ratePerSecond === undefined && sentAt < known!.heardAt + SETTLED_MS) return undefined;
+    // The response may be older than the limit.
+    if (ratePerSecond === undefined && sentAt < known!.confirmedAt + MIN_LIMIT_AGE_MS) return undefined;
     const row = { replica, ratePerSecond, version: (known?.row.version ?? 0) + 1 };
     this.merge(row);
     return row;
   }
 
-  /** All rows. */
+  /** Returns all rows. */
   rows(): ReplicaLimitRow[] {
     return [...this.known.values()].map(({ row }) => row);
   }
 
-  /**
-   * Forgets a replica that is gone.
-   * @param replica - One start of it.
-   */
+  /** Removes a replica that no longer exists. */
   forget(replica: string): void {
     this.known.delete(replica);
   }
 }
 
-/** Of two rows that daemons made at the same time, the stricter one holds. */
-function isLater(row: ReplicaLimitRow, known: ReplicaLimitRow): boolean {
+/**
+ * Returns whether a row replaces the known one. Of two that were created at the same time, the stricter one
+ * wins.
+ */
+function supersedes(row: ReplicaLimitRow, known: ReplicaLimitRow): boolean {
   if (row.version !== known.version) return row.version > known.version;
   return strictness(row) > strictness(known);
 }
--- a/packages/routing/src/core/limits/replica-limits.ts
+++ b/packages/routing/src/core/limits/replica-limits.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps the fleet within the rates that replicas in need state.
+ * Keeps the whole fleet within the rate limits that overloaded replicas declare in their responses.
  *
- * Whoever hears of a limit publishes it. One daemon for each replica, found by rendezvous hashing, spaces the requests of
- * all to it; the others ask that daemon before each send. One that can't reach it sends its own part of the rate, and the
- * sides of a partition their parts.
+ * A daemon that sees a new limit publishes it. For each replica one daemon, found by rendezvous hashing, is
+ * the coordinator: it spaces the requests of all daemons, which ask it for a permit before each request. A
+ * daemon that can't reach the coordinator uses its own share of the rate, and the sides of a partition use
+ * theirs.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
@@ -20,15 +21,18 @@
 import { SendPacer } from './send-pacer.js';
 import type { ReplicaLimitRow, SendPermit } from './types.js';
 
-/** Longest wait for the answer of the daemon that spaces the requests, in milliseconds. */
-const ANSWER_MS = 40;
-/** Least rate of all daemons together, in requests a second: without any request nobody hears that a limit is over. */
-const LEAST_RATE = 0.2;
-/** Least part of a rate that one daemon spaces its requests by. */
-const LEAST_PART = 0.001;
+/** Timeout of a permit request. */
+const PERMIT_TIMEOUT_MS = 40;
+/**
+ * Lowest rate of all daemons together, in requests per second: without requests nobody would see that a limit
+ * ended.
+ */
+const MIN_FLEET_RATE = 0.2;
+/** Smallest share of a rate by which one daemon spaces its requests. */
+const MIN_SHARE = 0.001;
 const GRANTED: SendPermit = { isGranted: true, waitMs: 0 };
 
-/** What the limits use of the daemon. */
+/** Parts of the daemon that the limits use. */
 export interface ReplicaLimitsOptions {
   /** Address of this daemon. */
   readonly self: string;
@@ -40,22 +44,23 @@
   readonly log: DecisionLog;
 }
 
-/** The limits of all replicas. */
+/** Tracks the rate limits of all replicas, and decides whether this daemon may send a request. */
 export class ReplicaLimits {
   private readonly table: LimitTable;
 
-  /** Requests of all daemons to the replicas that fall to this one. */
-  private readonly pacers = new Map<string, SendPacer>();
+  /** Pacers for the requests of all daemons, by replica, where this daemon is the coordinator. */
+  private readonly fleetPacers = new Map<string, SendPacer>();
 
-  /** This daemon's own part of the rates, for when the daemon that spaces the requests can't be reached. */
-  private readonly ownParts = new Map<string, SendPacer>();
+  /** Pacers at this daemon's own share of the rate, by replica, for when the coordinator can't be reached. */
+  private readonly ownSharePacers = new Map<string, SendPacer>();
 
-  /** Monotonic times before which replicas take no further request of this daemon, in milliseconds. */
+  /**
+   * Monotonic times before which this daemon sends no request to a replica after a refusal, in milliseconds.
+   */
   private readonly blockedUntil = new Map<string, number>();
 
   /**
-   * Registers the message and the topic.
-   * @param options - The daemon's parts.
+   * Registers the handler of permit requests and the topic, and drops the state of replicas that are removed.
    */
   constructor(private readonly options: ReplicaLimitsOptions) {
     const { cluster, tree, registry, timers } = options;
@@ -70,22 +75,19 @@
   }
 
   /**
-   * Learns from an answer of a replica.
-   * @param replica - One start of it.
-   * @param ratePerSecond - The limit that the answer names; undefined when it names none.
+   * Updates the limit of a replica from a response, and publishes a change.
+   * @param ratePerSecond - The limit in the response; undefined when it declares none.
    * @param sentAt - Monotonic time at which the request was sent, in milliseconds.
    */
   noteAnswer(replica: string, ratePerSecond: number | undefined, sentAt: number): void {
-    const row = this.table.noteAnswer(replica, ratePerSecond, sentAt);
+    const row = this.table.updateFromResponse(replica, ratePerSecond, sentAt);
     if (row === undefined) return;
-    this.tell(row);
+    this.applyChange(row);
     this.options.tree.publish(Topic.ReplicaLimit, row);
   }
 
   /**
-   * Tells whether a replica may get a request of this daemon, as far as is known without asking.
-   * @param replica - One start of it.
-   * @returns False for a while after a refusal.
+   * Returns whether this daemon may send a replica a request; false for a while after a permit was refused.
    */
   mayTake(replica: string): boolean {
     if (this.table.rate(replica) === undefined) return true;
@@ -93,86 +95,92 @@
   }
 
   /**
-   * Asks for leave to send one request.
-   * @param replica - One start of a replica.
-   * @returns Whether it may be sent; if not, the replica takes none for a while.
+   * Requests a permit for one request, where the replica declares a limit.
+   * @returns Whether the request may be sent; if not, {@link mayTake} is false for a while.
    */
   async admit(replica: string): Promise<boolean> {
     const row = this.table.get(replica);
     if (row?.ratePerSecond === undefined) return true;
     if (!this.mayTake(replica)) return false;
-    const { isGranted, waitMs } = await this.permit(row);
+    const { isGranted, waitMs } = await this.permitFor(row);
     if (!isGranted) this.blockedUntil.set(replica, this.options.timers.now() + waitMs);
     return isGranted;
   }
 
-  private permit(row: ReplicaLimitRow): SendPermit | Promise<SendPermit> {
+  private permitFor(row: ReplicaLimitRow): SendPermit | Promise<SendPermit> {
     const { self, cluster } = this.options;
-    const keeper = firstFor(row.replica, cluster.alive());
-    return keeper === undefined || keeper === self ? this.pace(row) : this.ask(keeper, row);
+    const coordinator = firstFor(row.replica, cluster.alive());
+    return coordinator === undefined || coordinator === self
+      ? this.permitFromFleetRate(row)
+      : this.requestPermit(coordinator, row);
   }
 
-  private async ask(keeper: string, row: ReplicaLimitRow): Promise<SendPermit> {
+  private async requestPermit(coordinator: string, row: ReplicaLimitRow): Promise<SendPermit> {
     const { cluster, log } = this.options;
     try {
-      const answer = await cluster.request(keeper, MessageType.SendPermit, encodeLimit(row), ANSWER_MS);
-      this.ownParts.delete(row.replica);
-      return decodePermit(answer as PermitFrame);
+      const response = await cluster.request(
+        coordinator,
+        MessageType.SendPermit,
+        encodeLimit(row),
+        PERMIT_TIMEOUT_MS,
+      );
+      this.ownSharePacers.delete(row.replica);
+      return decodePermit(response as PermitFrame);
     } catch (err) {
-      log.debug(`${keeper} does not say whether ${row.replica} takes a request: ${String(err)}.`);
-      return this.paceOwnPart(row);
+      log.debug(`No permit decision from ${coordinator} for ${row.replica}: ${String(err)}.`);
+      return this.permitFromOwnShare(row);
     }
   }
 
-  /** Answers a daemon that may have heard of the limit before this one. */
+  /** Handles a permit request of a daemon, which may know a newer limit than this one. */
   private handleRequest(row: ReplicaLimitRow): PermitFrame {
-    this.takeRow(row);
-    return encodePermit(this.pace(this.table.get(row.replica)!));
+    this.mergeRow(row);
+    return encodePermit(this.permitFromFleetRate(this.table.get(row.replica)!));
   }
 
-  /** Spaces the requests of all daemons that reach this one. */
-  private pace({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
+  /** Spaces the requests of all daemons that can reach this one. */
+  private permitFromFleetRate({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
     if (ratePerSecond === undefined) return GRANTED;
-    const part = this.options.share.side();
-    return this.take(this.pacers, replica, Math.max(LEAST_RATE, ratePerSecond * part));
+    const share = this.options.share.side();
+    return this.takeFrom(this.fleetPacers, replica, Math.max(MIN_FLEET_RATE, ratePerSecond * share));
   }
 
-  private paceOwnPart({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
-    const part = Math.max(LEAST_PART, this.options.share.one());
-    return this.take(this.ownParts, replica, Math.max(LEAST_RATE, ratePerSecond!) * part);
+  private permitFromOwnShare({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
+    const share = Math.max(MIN_SHARE, this.options.share.one());
+    return this.takeFrom(this.ownSharePacers, replica, Math.max(MIN_FLEET_RATE, ratePerSecond!) * share);
   }
 
-  private take(pacers: Map<string, SendPacer>, replica: string, ratePerSecond: number): SendPermit {
+  private takeFrom(pacers: Map<string, SendPacer>, replica: string, ratePerSecond: number): SendPermit {
     const now = this.options.timers.now();
     const pacer = pacers.get(replica) ?? new SendPacer(ratePerSecond, now);
     pacers.set(replica, pacer);
-    return pacer.take(ratePerSecond, now);
+    return pacer.tryAcquire(ratePerSecond, now);
   }
 
-  private takeRow(row: ReplicaLimitRow): boolean {
-    const isNews = this.table.merge(row);
-    if (isNews) this.tell(row);
-    return isNews;
+  private mergeRow(row: ReplicaLimitRow): boolean {
+    const isNewer = this.table.merge(row);
+    if (isNewer) this.applyChange(row);
+    return isNewer;
   }
 
-  private tell({ replica, ratePerSecond, version }: ReplicaLimitRow): void {
-    if (ratePerSecond === undefined) this.forgetPace(replica);
+  private applyChange({ replica, ratePerSecond, version }: ReplicaLimitRow): void {
+    if (ratePerSecond === undefined) this.resetPacing(replica);
     const text =
       ratePerSecond === undefined
-        ? `Replica ${replica} states no limit any more.`
-        : `Replica ${replica} takes ${ratePerSecond} requests a second.`;
+        ? `Replica ${replica} no longer declares a rate limit.`
+        : `Replica ${replica} declares a limit of ${ratePerSecond} requests per second.`;
     this.options.log.decide('replica.limit', text, { replica, ratePerSecond, version });
   }
 
-  private forgetPace(replica: string): void {
-    this.pacers.delete(replica);
-    this.ownParts.delete(replica);
+  private resetPacing(replica: string): void {
+    this.fleetPacers.delete(replica);
+    this.ownSharePacers.delete(replica);
     this.blockedUntil.delete(replica);
   }
 
   private forget(replica: string): void {
     this.table.forget(replica);
-    this.forgetPace(replica);
+    this.resetPacing(replica);
   }
 
   private topic(): TopicHandler<ReplicaLimitRow> {
@@ -180,7 +188,7 @@
     return {
       isUrgent: true,
       keyOf: ({ replica }) => replica,
-      merge: (row) => this.takeRow(row),
+      merge: (row) => this.mergeRow(row),
       snapshot: () => this.table.rows().filter(({ replica }) => registry.replica(replica) !== undefined),
       encode: encodeLimit,
       decode: (wire) => decodeLimit(wire as LimitFrame),
--- a/packages/routing/src/core/limits/send-pacer.ts
+++ b/packages/routing/src/core/limits/send-pacer.ts
@@ -1,21 +1,24 @@
-/** Spaces requests to one replica evenly, at the rate that it states. */
+/** Spaces requests to one replica evenly at the rate limit that it declares. */
 import type { SendPermit } from './types.js';
 
 const MS_PER_SECOND = 1000;
-/** Longest wait that is told, in milliseconds: those that wait may have gone elsewhere. */
+/** Longest wait that is returned: the requests that it takes into account may have gone to other replicas. */
 const MAX_WAIT_MS = 2000;
 
-/** The times at which requests may go. */
+/** Grants at most one request in each interval. */
 export class SendPacer {
   /** Monotonic time from which the next request may go, in milliseconds. */
   private nextAt: number;
 
-  /** Refusals since the last request, each of which asks again one request later. */
+  /**
+   * Refusals since the last grant; each refused sender is told to retry one interval after the one before.
+   */
   private refusals = 0;
 
   /**
-   * Makes a pacer; what others have sent just before is not known, so the first request waits.
-   * @param ratePerSecond - Requests a second, above 0.
+   * Creates a pacer that delays its first request by an interval, as it does not know what was sent just
+   * before.
+   * @param ratePerSecond - Above 0.
    * @param now - Monotonic milliseconds.
    */
   constructor(ratePerSecond: number, now: number) {
@@ -23,14 +26,13 @@
   }
 
   /**
-   * Asks to send a request.
-   * @param ratePerSecond - Requests a second, above 0.
+   * Grants a request, or returns when to ask again.
+   * @param ratePerSecond - Above 0.
    * @param now - Monotonic milliseconds.
-   * @returns Whether it may go.
    */
-  take(ratePerSecond: number, now: number): SendPermit {
+  tryAcquire(ratePerSecond: number, now: number): SendPermit {
     const interval = intervalMs(ratePerSecond);
-    // Of the time in which nothing was sent, one request is made up for.
+    // Idle time allows at most one request ahead of the schedule.
     const at = Math.max(Math.min(this.nextAt, now + interval), now - interval);
     if (at > now) {
       const waitMs = Math.min(MAX_WAIT_MS, at - now + this.refusals * interval);
--- a/packages/routing/src/core/limits/types.ts
+++ b/packages/routing/src/core/limits/types.ts
@@ -1,18 +1,18 @@
-/** Rates that replicas in need state. */
+/** Rate limits that overloaded replicas declare. */
 
-/** What a replica takes from all daemons together, as its answers say. */
+/** Rate limit of a replica for all daemons together, as its responses declare it. */
 export interface ReplicaLimitRow {
-  /** One start of the replica. */
+  /** Identity of one incarnation of the replica. */
   readonly replica: string;
-  /** Requests a second; undefined once its answers name no limit any more. */
+  /** Requests per second; undefined once its responses declare no limit any more. */
   readonly ratePerSecond: number | undefined;
-  /** Raised with each change, whoever saw it. */
+  /** Incremented with each change, whichever daemon sees it. */
   readonly version: number;
 }
 
 /** Whether a request may be sent to a replica now. */
 export interface SendPermit {
   readonly isGranted: boolean;
-  /** Time after which to ask again, in milliseconds; 0 when it is granted. */
+  /** Time after which to ask again, in milliseconds; 0 when the request is granted. */
   readonly waitMs: number;
 }
--- a/packages/routing/test/limits/fleet.ts
+++ b/packages/routing/test/limits/fleet.ts
@@ -1,4 +1,4 @@
-/** Daemons that press on one replica in need, on the virtual clock. */
+/** Simulates daemons that send an overloaded replica as much as they may, on the virtual clock. */
 import { ReplicaLimits, ReplicaRegistry } from '@celeryyoke/routing';
 
 import { log } from '../fakes.js';
@@ -8,19 +8,21 @@
 
 export const REPLICA = 'e1';
 const STEP_MS = 20;
-/** Time from a request's way to the replica to its answer, in milliseconds. */
-const ANSWER_MS = 30;
-/** Window of the users' rule, in milliseconds. */
+/** Time from the arrival of a request at the replica to its response. */
+const RESPONSE_MS = 30;
+/**
+ * Users require that no window of this length has more requests than the limit times a factor, and some
+ * extra.
+ */
 const WINDOW_MS = 4000;
-/** What the rule leaves beyond the limit. */
-const RULE_OVER = 1.5;
-const RULE_SLACK = 5;
+const ALLOWED_FACTOR = 1.5;
+const ALLOWED_EXTRA = 5;
 
-/** A fleet before a replica that states a limit. */
-export class PressedFleet {
+/** A fleet with one replica that declares a rate limit. */
+export class LimitedFleet {
   readonly fleet: TestFleet;
 
-  /** What the replica's answers name. */
+  /** Limit that the replica's responses declare, in requests per second. */
   limitPerSecond: number | undefined;
 
   /** Monotonic times at which requests reached the replica, in milliseconds. */
@@ -37,8 +39,8 @@
     await this.fleet.timers.advance(3000);
   }
 
-  /** Lets time go by while every daemon sends as often as it may. */
-  async press(ms: number): Promise<void> {
+  /** Advances time while every daemon sends as often as its limits allow. */
+  async sendAtMaxRate(ms: number): Promise<void> {
     for (let atMs = 0; atMs < ms; atMs += STEP_MS) {
       for (const { address } of this.fleet.running())
         if (!this.fleet.network.isFrozen(address)) void this.send(address);
@@ -46,18 +48,18 @@
     }
   }
 
-  /** Most requests in a window of the rule from some time on. */
-  busiestWindow(fromMs: number): number {
-    const counted = this.arrivals.filter((at) => at >= fromMs);
+  /** Returns the highest number of requests in a window from a time on. */
+  maxInWindow(fromMs: number): number {
+    const arrivals = this.arrivals.filter((at) => at >= fromMs);
     return Math.max(
       0,
-      ...counted.map((start) => counted.filter((at) => at >= start && at < start + WINDOW_MS).length),
+      ...arrivals.map((start) => arrivals.filter((at) => at >= start && at < start + WINDOW_MS).length),
     );
   }
 
-  /** What the rule allows in a window. */
-  allowed(): number {
-    return (RULE_OVER * this.limitPerSecond! * WINDOW_MS) / 1000 + RULE_SLACK;
+  /** Returns the number of requests that is allowed in a window. */
+  allowedInWindow(): number {
+    return (ALLOWED_FACTOR * this.limitPerSecond! * WINDOW_MS) / 1000 + ALLOWED_EXTRA;
   }
 
   private async send(address: string): Promise<void> {
@@ -66,8 +68,8 @@
     if (!limits.mayTake(REPLICA) || !(await limits.admit(REPLICA))) return;
     const sentAt = timers.now();
     this.arrivals.push(sentAt);
-    const named = this.limitPerSecond;
-    timers.after(ANSWER_MS, () => limits.noteAnswer(REPLICA, named, sentAt));
+    const declaredLimit = this.limitPerSecond;
+    timers.after(RESPONSE_MS, () => limits.noteAnswer(REPLICA, declaredLimit, sentAt));
   }
 
   private addLimits(daemon: TestDaemon): void {
--- a/packages/routing/test/limits/limits.test.ts
+++ b/packages/routing/test/limits/limits.test.ts
@@ -1,14 +1,14 @@
-/** The rate that a replica in need states holds for all daemons together. */
+/** The rate limit that a replica declares holds for all daemons together. */
 import { CUT_OFF_MS, firstFor, LimitTable, SendPacer } from '@celeryyoke/routing';
 import { createManualTimers } from '@celeryyoke/core';
 import test from 'ava';
 
-import { PressedFleet, REPLICA } from './fleet.js';
+import { LimitedFleet, REPLICA } from './fleet.js';
 
-/** Daemons that the settings name to a large fleet. */
+/** Seeds of a large fleet. */
 const SEEDS = 3;
-/** Time in which all daemons hear of a limit, in milliseconds. */
-const HEARD_MS = 1000;
+/** Time in which a limit reaches all daemons. */
+const PROPAGATION_MS = 1000;
 
 for (const [count, rate] of [
   [1, 2.2],
@@ -16,109 +16,111 @@
   [60, 2.2],
   [60, 20],
 ] as const)
-  // Guards against daemons that each keep to a limit by themselves, so that their number multiplies it.
-  test(`${count} daemons that press together send a replica no more than ${rate} a second`, async (t) => {
-    const pressed = new PressedFleet(Math.min(SEEDS, count));
-    await pressed.start(count);
-    pressed.limitPerSecond = rate;
-    await pressed.press(HEARD_MS);
-    const from = pressed.fleet.timers.now();
-    await pressed.press(15_000);
-    const most = pressed.busiestWindow(from);
-    t.log({ most, allowed: pressed.allowed() });
-    t.true(most <= pressed.allowed());
-    t.true(most >= rate * 4 * 0.6, 'the replica still gets most of what it takes');
+  // Guards against daemons that each apply the limit on their own, so that the fleet exceeds it by their
+  // number.
+  test(`${count} daemons together send a replica no more than ${rate} requests per second`, async (t) => {
+    const limited = new LimitedFleet(Math.min(SEEDS, count));
+    await limited.start(count);
+    limited.limitPerSecond = rate;
+    await limited.sendAtMaxRate(PROPAGATION_MS);
+    const from = limited.fleet.timers.now();
+    await limited.sendAtMaxRate(15_000);
+    const most = limited.maxInWindow(from);
+    t.log({ most, allowed: limited.allowedInWindow() });
+    t.true(most <= limited.allowedInWindow());
+    t.true(most >= rate * 4 * 0.6, 'the replica still gets most of the requests that it accepts');
   });
 
-// Guards against a new daemon that spaces the requests and begins with a burst, and against a stop without one.
-test('the limit holds while the daemon that spaces the requests ends or freezes', async (t) => {
-  const pressed = new PressedFleet();
-  const { fleet } = pressed;
-  await pressed.start(12);
-  pressed.limitPerSecond = 2;
-  await pressed.press(HEARD_MS);
+// Guards against a new coordinator that begins with a burst, and against no requests at all without one.
+test('the limit holds while the coordinator ends or freezes', async (t) => {
+  const limited = new LimitedFleet();
+  const { fleet } = limited;
+  await limited.start(12);
+  limited.limitPerSecond = 2;
+  await limited.sendAtMaxRate(PROPAGATION_MS);
   const from = fleet.timers.now();
-  for (let turn = 0; turn < 3; turn += 1) {
-    const keeper = firstFor(REPLICA, fleet.daemon(11).cluster.alive())!;
-    if (turn === 1) fleet.network.freeze(keeper);
-    else fleet.daemons.get(keeper)!.kill();
-    await pressed.press(5000);
+  for (let round = 0; round < 3; round += 1) {
+    const coordinator = firstFor(REPLICA, fleet.daemon(11).cluster.alive())!;
+    if (round === 1) fleet.network.freeze(coordinator);
+    else fleet.daemons.get(coordinator)!.kill();
+    await limited.sendAtMaxRate(5000);
   }
-  const most = pressed.busiestWindow(from);
-  t.log({ most, allowed: pressed.allowed() });
-  t.true(most <= pressed.allowed());
-  t.true(pressed.arrivals.filter((at) => at > fleet.timers.now() - 4000).length > 0);
+  const most = limited.maxInWindow(from);
+  t.log({ most, allowed: limited.allowedInWindow() });
+  t.true(most <= limited.allowedInWindow());
+  t.true(limited.arrivals.filter((at) => at > fleet.timers.now() - 4000).length > 0);
 });
 
-for (const [what, hasMet] of [
+for (const [caseName, hasMet] of [
   ['sides of a partition', true],
   ['parts of a fleet that never met', false],
 ] as const)
-  // Guards against one daemon on each side that spaces the requests of its side at the whole rate.
-  test(`${what} together send a replica no more than it takes`, async (t) => {
-    const pressed = new PressedFleet();
-    const { fleet } = pressed;
+  // Guards against a coordinator on each side of a partition that applies the whole rate to its side.
+  test(`${caseName} together send a replica no more than its limit`, async (t) => {
+    const limited = new LimitedFleet();
+    const { fleet } = limited;
     const names = Array.from({ length: 12 }, (_, index) => fleet.name(index));
-    const part = (zone: number): string[] => names.filter((_name, index) => index % 3 === zone);
+    const daemonsOf = (zone: number): string[] => names.filter((_name, index) => index % 3 === zone);
     const cut = (): void => {
       for (const [left, right] of [
         [0, 1],
         [0, 2],
         [1, 2],
       ] as const)
-        fleet.network.split(part(left), part(right));
+        fleet.network.split(daemonsOf(left), daemonsOf(right));
     };
     if (!hasMet) cut();
-    await pressed.start(names.length);
+    await limited.start(names.length);
     if (hasMet) cut();
-    pressed.limitPerSecond = 20;
-    await pressed.press(5000);
+    limited.limitPerSecond = 20;
+    await limited.sendAtMaxRate(5000);
     const from = fleet.timers.now();
-    await pressed.press(15_000);
-    const most = pressed.busiestWindow(from);
-    t.log({ most, allowed: pressed.allowed() });
-    t.true(most <= pressed.allowed());
-    t.true(most >= pressed.limitPerSecond * 4 * 0.4, 'the replica still gets much of what it takes');
+    await limited.sendAtMaxRate(15_000);
+    const most = limited.maxInWindow(from);
+    t.log({ most, allowed: limited.allowedInWindow() });
+    t.true(most <= limited.allowedInWindow());
+    t.true(most >= limited.limitPerSecond * 4 * 0.4, 'the replica still gets much of what it accepts');
   });
 
-// Guards against a daemon that takes others for cut off for ever, though the settings name daemons that are gone.
-test('a daemon that meets none of the others sends the whole rate in the end', async (t) => {
-  const pressed = new PressedFleet(SEEDS);
-  await pressed.start(1);
-  pressed.limitPerSecond = 20;
-  await pressed.press(CUT_OFF_MS);
-  const from = pressed.fleet.timers.now();
-  await pressed.press(10_000);
-  const most = pressed.busiestWindow(from);
-  t.log({ most, allowed: pressed.allowed() });
-  t.true(most <= pressed.allowed());
-  t.true(most >= pressed.limitPerSecond * 4 * 0.6);
+// Guards against a daemon that treats configured seeds as partitioned off for ever although they no longer
+// exist.
+test('a daemon that reaches no other uses the whole rate in the end', async (t) => {
+  const limited = new LimitedFleet(SEEDS);
+  await limited.start(1);
+  limited.limitPerSecond = 20;
+  await limited.sendAtMaxRate(CUT_OFF_MS);
+  const from = limited.fleet.timers.now();
+  await limited.sendAtMaxRate(10_000);
+  const most = limited.maxInWindow(from);
+  t.log({ most, allowed: limited.allowedInWindow() });
+  t.true(most <= limited.allowedInWindow());
+  t.true(most >= limited.limitPerSecond * 4 * 0.6);
 });
 
-test('a limit ends for all when answers name it no more', async (t) => {
-  const pressed = new PressedFleet();
-  await pressed.start(7);
-  pressed.limitPerSecond = 2;
-  await pressed.press(6000);
-  pressed.limitPerSecond = undefined;
-  await pressed.press(2000);
-  const from = pressed.fleet.timers.now();
-  await pressed.press(1000);
-  t.true(pressed.arrivals.filter((at) => at >= from).length > 100);
+test('a limit ends for all daemons when responses no longer declare it', async (t) => {
+  const limited = new LimitedFleet();
+  await limited.start(7);
+  limited.limitPerSecond = 2;
+  await limited.sendAtMaxRate(6000);
+  limited.limitPerSecond = undefined;
+  await limited.sendAtMaxRate(2000);
+  const from = limited.fleet.timers.now();
+  await limited.sendAtMaxRate(1000);
+  t.true(limited.arrivals.filter((at) => at >= from).length > 100);
 });
 
-test('an answer that was on its way before a limit was stated does not end it', async (t) => {
+test('a response to a request from before a limit does not end it', async (t) => {
   const timers = createManualTimers();
   const table = new LimitTable(timers);
-  t.not(table.noteAnswer(REPLICA, 2, 0), undefined);
+  t.not(table.updateFromResponse(REPLICA, 2, 0), undefined);
   await timers.advance(3000);
-  t.is(table.noteAnswer(REPLICA, undefined, 200), undefined);
+  t.is(table.updateFromResponse(REPLICA, undefined, 200), undefined);
   t.is(table.rate(REPLICA), 2);
-  t.not(table.noteAnswer(REPLICA, undefined, 2000), undefined);
+  t.not(table.updateFromResponse(REPLICA, undefined, 2000), undefined);
   t.is(table.rate(REPLICA), undefined);
 });
 
-test('of two limits that daemons heard at the same time all keep the stricter one', (t) => {
+test('of two concurrent limits the stricter one wins', (t) => {
   for (const order of [
     [2, 3],
     [3, 2],
@@ -130,10 +132,10 @@
   }
 });
 
-test('those that are refused ask again one after the other', (t) => {
+test('refused senders are told to retry one after the other', (t) => {
   const pacer = new SendPacer(10, 0);
-  const waits = [1, 2, 3].map(() => pacer.take(10, 0).waitMs);
+  const waits = [1, 2, 3].map(() => pacer.tryAcquire(10, 0).waitMs);
   t.deepEqual(waits, [100, 200, 300]);
-  t.true(pacer.take(10, 100).isGranted);
-  t.false(pacer.take(10, 150).isGranted);
+  t.true(pacer.tryAcquire(10, 100).isGranted);
+  t.false(pacer.tryAcquire(10, 150).isGranted);
 });
