--- a/packages/routing/src/core/channels/whole.ts
+++ b/packages/routing/src/core/channels/buffered-response.ts
@@ -1,22 +1,20 @@
-/** Small exchanges whose whole answer is read. */
+/** Exchanges whose response is small and buffered as a whole. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { ChannelPool, UpstreamAddress } from './pool.js';
 import type { AnswerSink, ChannelFailure, HeaderMap, RunningExchange, UpstreamCall } from './types.js';
 
-/** A whole answer. */
+/** A complete response. */
 export interface WholeAnswer {
   readonly status: number;
   readonly headers: HeaderMap;
   readonly body: Buffer;
 }
 
-/** An exchange that brought no whole answer. */
+/** An exchange that brought no complete response. */
 export class ExchangeError extends Error {
   /**
-   * Makes the error.
-   * @param failure - Whether a byte was sent.
-   * @param message - What went wrong.
+   * @param failure - Whether the request was sent.
    */
   constructor(
     readonly failure: ChannelFailure,
@@ -29,20 +27,15 @@
 /** Limits of an exchange. */
 export interface ReadOptions {
   readonly timers: TimerService;
-  /** Longest time until the whole answer has come, in milliseconds. */
+  /** Timeout until the response is complete, in milliseconds. */
   readonly timeoutMs: number;
-  /** Ends the exchange early. */
+  /** Cancels the exchange. */
   readonly signal?: AbortSignal;
 }
 
 /**
- * Sends a request on a connection of the pool and reads the whole answer.
- * @param pool - The connections.
- * @param upstream - Where to.
- * @param call - The request.
- * @param options - Time, its limit in milliseconds, and a signal that ends the call early.
- * @returns The answer.
- * @throws ExchangeError when it did not come whole and in time.
+ * Sends a request on a pooled connection and buffers the response.
+ * @throws ExchangeError when the response is not complete in time.
  */
 export function exchangeWhole(
   pool: ChannelPool,
@@ -50,17 +43,15 @@
   call: UpstreamCall,
   options: ReadOptions,
 ): Promise<WholeAnswer> {
-  return readWhole((sink) => pool.send(upstream, call, sink), options);
+  return bufferResponse((sink) => pool.send(upstream, call, sink), options);
 }
 
 /**
- * Reads the whole answer of an exchange.
+ * Buffers the response of an exchange.
  * @param start - Sends the request.
- * @param options - Time, its limit in milliseconds, and a signal that ends the call early.
- * @returns The answer.
- * @throws ExchangeError when it did not come whole and in time.
+ * @throws ExchangeError when the response is not complete in time.
  */
-export function readWhole(
+export function bufferResponse(
   start: (sink: AnswerSink) => RunningExchange,
   options: ReadOptions,
 ): Promise<WholeAnswer> {
@@ -76,23 +67,23 @@
       },
       onData: (chunk) => chunks.push(chunk),
       onEnd: () => {
-        release();
+        cleanUp();
         resolve({ status, headers, body: Buffer.concat(chunks) });
       },
       onFail: (failure, err) => {
-        release();
+        cleanUp();
         reject(new ExchangeError(failure, err.message));
       },
     });
-    // A cancelled exchange fails, and that ends the call.
+    // Cancelling makes the exchange fail, which rejects the promise.
     const timer = options.timers.after(options.timeoutMs, () =>
-      exchange.cancel(`No answer within ${options.timeoutMs} ms.`),
+      exchange.cancel(`No complete response within ${options.timeoutMs} ms.`),
     );
-    const stop = (): void => exchange.cancel('The call was given up.');
-    options.signal?.addEventListener('abort', stop, { once: true });
-    function release(): void {
+    const abort = (): void => exchange.cancel('The call was aborted.');
+    options.signal?.addEventListener('abort', abort, { once: true });
+    function cleanUp(): void {
       timer?.cancel();
-      options.signal?.removeEventListener('abort', stop);
+      options.signal?.removeEventListener('abort', abort);
     }
   });
 }
--- a/packages/routing/src/core/channels/channel.ts
+++ b/packages/routing/src/core/channels/channel.ts
@@ -1,8 +1,8 @@
 /**
  * One connection to a replica over undici's client.
  *
- * It says of each failure whether a byte was handed to the connection, and treats an answer without a length that is
- * reset as broken, which the library itself takes for complete.
+ * Each failure says whether a byte was handed to the connection. A response without a length whose connection
+ * is reset counts as broken; undici itself would report it as complete.
  */
 import { connect, type Socket } from 'node:net';
 
@@ -14,73 +14,70 @@
 
 const FIRST_FINAL_STATUS = 200;
 const NO_TIMEOUT = 0;
-/** Idle time after which a connection is closed when the replica names no time of its own, in milliseconds. */
-const DEFAULT_IDLE_MS = 400;
-/** Taken off the idle time that a replica names in whole seconds, in milliseconds, so that it never closes first. */
+/** Idle timeout of a connection when the replica declares none of its own. */
+const DEFAULT_IDLE_TIMEOUT_MS = 400;
+/**
+ * Subtracted from the idle timeout that a replica declares in whole seconds, so that the replica never closes
+ * first.
+ */
 const IDLE_MARGIN_MS = 1000;
-/** Longest idle time in milliseconds. */
-const MAX_IDLE_MS = 20_000;
-/** First probe of a silent connection in milliseconds; the system sends the next ones each second. */
-const PROBE_AFTER_MS = 1000;
+/** Upper bound of the idle timeout. */
+const MAX_IDLE_TIMEOUT_MS = 20_000;
+/** Idle time before the first TCP keep-alive probe; the system sends the next ones each second. */
+const KEEPALIVE_DELAY_MS = 1000;
 
-/** Options of a channel. */
+/** Options of a {@link Channel}. */
 export interface ChannelOptions {
   readonly host: string;
   readonly port: number;
   readonly connectTimeoutMs: number;
-  /** Called once when the connection is of no further use. */
+  /** Called once, when the channel takes no further exchange. */
   readonly onClosed: (channel: Channel) => void;
 }
 
-/** One connection; at most one exchange at a time. */
+/** One connection with at most one exchange at a time; it connects with the first. */
 export class Channel {
   private readonly client: Client;
 
-  /** Whether the connection was reset rather than closed. */
+  /** Whether the connection failed, for instance by a reset, rather than being closed. */
   private wasReset = false;
 
   private isClosed = false;
 
   private socket: Socket | undefined;
 
-  /** Whether the replica ends the connection with the answer at hand. */
-  private isLast = false;
+  /** Whether the replica closes the connection after the current response. */
+  private isClosing = false;
 
-  /**
-   * Makes a channel; it connects with its first exchange.
-   * @param options - Where to.
-   */
   constructor(private readonly options: ChannelOptions) {
     this.client = new Client(`http://${options.host}:${options.port}`, {
       pipelining: 1,
       headersTimeout: NO_TIMEOUT,
       bodyTimeout: NO_TIMEOUT,
-      keepAliveTimeout: DEFAULT_IDLE_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      keepAliveMaxTimeout: MAX_IDLE_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
       connect: (_opts, callback) => this.connect(callback),
     });
     this.client.on('disconnect', () => this.close());
     this.client.on('connectionError', () => this.close());
   }
 
-  /** Whether it can take another exchange. */
+  /** Whether the channel can take another exchange. */
   get isUsable(): boolean {
-    return !this.isClosed && !this.isLast;
+    return !this.isClosed && !this.isClosing;
   }
 
   /**
    * Sends a request.
-   * @param call - The request.
-   * @param sink - Told of its steps.
-   * @returns The running exchange.
+   * @param sink - Called at each step of the exchange.
    */
   send(call: UpstreamCall, sink: AnswerSink): RunningExchange {
     const exchange = new Exchange(
       sink,
       () => this.wasReset,
       () => {
-        this.isLast = true;
+        this.isClosing = true;
       },
     );
     const options = {
@@ -99,29 +96,30 @@
   }
 
   /**
-   * Ends the connection with a reset, so that bytes that a partition still holds are lost: an order or a request that
-   * was given up must not arrive when the partition heals.
+   * Resets the connection, so that bytes that a partition still holds are lost: an order or a request that
+   * was cancelled must not arrive when the partition heals.
    */
   reset(): void {
     this.socket?.resetAndDestroy();
     this.close();
   }
 
-  /** Ends the connection. */
+  /** Closes the connection. */
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
     this.options.onClosed(this);
     this.client.destroy().catch(() => {
-      // Destroying a client that is being destroyed is the only failure there is.
+      // It only rejects when the client is being destroyed already.
     });
   }
 
   private connect(callback: (...args: [null, Socket] | [Error, null]) => void): void {
     const { host, port, connectTimeoutMs } = this.options;
-    // What is known of the process at the other end holds for one connection only; the library would set up another.
+    // What is known of the process at the other end holds for one connection only, but undici would open
+    // another one.
     if (this.socket !== undefined) {
-      callback(new Error('The connection has ended.'), null);
+      callback(new Error('The connection was closed and is not opened again.'), null);
       return;
     }
     const socket = connect({
@@ -129,7 +127,7 @@
       port,
       noDelay: true,
       keepAlive: true,
-      keepAliveInitialDelay: PROBE_AFTER_MS,
+      keepAliveInitialDelay: KEEPALIVE_DELAY_MS,
     });
     this.socket = socket;
     let isSettled = false;
@@ -140,7 +138,8 @@
       if (err === undefined) callback(null, socket);
       else callback(err, null);
     };
-    // Registered before the library's own listener, so that it is known when the library asks.
+    // Registered before undici's own listener, so that wasReset is set when undici reports the end of the
+    // response.
     socket.on('error', (err) => {
       this.wasReset = true;
       settle(err);
@@ -153,7 +152,7 @@
   }
 }
 
-/** One exchange; undici calls it back. */
+/** One exchange; undici calls its handler methods. */
 class Exchange implements Dispatcher.DispatchHandler, RunningExchange {
   private controller: Dispatcher.DispatchController | undefined;
 
@@ -166,14 +165,15 @@
   constructor(
     private readonly sink: AnswerSink,
     private readonly wasReset: () => boolean,
-    private readonly noteLast: () => void,
+    private readonly onConnectionClosing: () => void,
   ) {}
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    // The library may put a request on a second connection when the first closed; never send it twice.
+    // undici may retry a request on a second connection when the first one closed; it must never be sent
+    // twice.
     if (this.hasEnded || this.controller !== undefined) {
-      controller.abort(new Error('The exchange is over.'));
-      this.fail(new Error('The connection closed before the answer.'));
+      controller.abort(new Error('The exchange has ended.'));
+      this.fail(new Error('The connection closed before the response.'));
       return;
     }
     this.controller = controller;
@@ -183,7 +183,7 @@
   onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: HeaderMap): void {
     if (status < FIRST_FINAL_STATUS || this.hasEnded) return;
     this.hasLength = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
-    if (!this.hasLength || saysClose(headers)) this.noteLast();
+    if (!this.hasLength || hasCloseHeader(headers)) this.onConnectionClosing();
     this.sink.onHead(status, headers);
   }
 
@@ -194,7 +194,7 @@
   onResponseEnd(): void {
     if (this.hasEnded) return;
     if (!this.hasLength && this.wasReset()) {
-      this.fail(new Error('The answer has no length and its connection was reset.'));
+      this.fail(new Error('The connection was reset during a response without a length.'));
       return;
     }
     this.hasEnded = true;
@@ -208,8 +208,8 @@
   fail(err: Error): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
-    const sent = this.isCancelled ? ChannelFailure.Cancelled : ChannelFailure.Broken;
-    this.sink.onFail(this.controller === undefined ? ChannelFailure.NotSent : sent, err);
+    const failureAfterSend = this.isCancelled ? ChannelFailure.Cancelled : ChannelFailure.Broken;
+    this.sink.onFail(this.controller === undefined ? ChannelFailure.NotSent : failureAfterSend, err);
   }
 
   cancel(reason: string): void {
@@ -221,7 +221,7 @@
   }
 }
 
-function saysClose({ connection }: HeaderMap): boolean {
+function hasCloseHeader({ connection }: HeaderMap): boolean {
   return String(connection ?? '')
     .toLowerCase()
     .includes('close');
--- a/packages/routing/src/core/channels/pool.ts
+++ b/packages/routing/src/core/channels/pool.ts
@@ -1,44 +1,41 @@
-/** The connections to all replicas; an idle one is used again, the latest first. */
+/** Pool of connections to all replicas; the idle connection that was used last is reused first. */
 import { Channel } from './channel.js';
-import { ExclusiveChannel } from './exclusive.js';
+import { ExclusiveChannel } from './exclusive-channel.js';
 import type { AnswerSink, RunningExchange, UpstreamCall } from './types.js';
 import { ChannelFailure } from './types.js';
 
-/** Longest time to set up a connection, in milliseconds; replicas take one in about a millisecond. */
+/** Timeout of a connection attempt; replicas accept one in about a millisecond. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Where a replica listens. */
+/** Address of a replica. */
 export interface UpstreamAddress {
-  /** Incarnation of the replica; its connections are its own even when another one gets the address. */
+  /** Incarnation of the replica: connections are not shared with another one that gets the same address. */
   readonly id: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** The connections of this daemon to replicas. */
+/** Opens, reuses and closes this daemon's connections to replicas. */
 export class ChannelPool {
-  private readonly idle = new Map<string, Channel[]>();
+  private readonly idleChannels = new Map<string, Channel[]>();
 
-  private readonly open = new Map<string, Set<Channel>>();
+  private readonly openChannels = new Map<string, Set<Channel>>();
 
-  /** Connections opened since the start. */
+  /** Number of connections opened since process start. */
   opened = 0;
 
   /**
-   * Sends a request to a replica.
-   * @param upstream - The replica.
-   * @param call - The request.
-   * @param sink - Told of its steps.
-   * @returns The running exchange.
+   * Sends a request to a replica on an idle connection or a new one.
+   * @param sink - Called at each step of the exchange.
    */
   send(upstream: UpstreamAddress, call: UpstreamCall, sink: AnswerSink): RunningExchange {
-    const channel = this.take(upstream);
+    const channel = this.acquire(upstream);
     return channel.send(call, {
       onSent: () => sink.onSent(),
       onHead: (status, headers) => sink.onHead(status, headers),
       onData: (chunk) => sink.onData(chunk),
       onEnd: () => {
-        this.giveBack(upstream.id, channel);
+        this.release(upstream.id, channel);
         sink.onEnd();
       },
       onFail: (failure, err) => {
@@ -50,57 +47,52 @@
   }
 
   /**
-   * Opens a connection that nothing else uses.
-   * @param upstream - The replica.
-   * @param onClosed - Called once when it is of no further use.
-   * @returns The connection; it is set up with its first exchange.
+   * Creates a connection that nothing else uses; it connects with its first call.
+   * @param onClosed - Called once, when the channel takes no further call.
    */
   openExclusive(upstream: UpstreamAddress, onClosed: () => void): ExclusiveChannel {
-    return new ExclusiveChannel(this.make(upstream, onClosed));
+    return new ExclusiveChannel(this.create(upstream, onClosed));
   }
 
-  /**
-   * Closes the idle connections to a replica that is gone.
-   * @param id - The replica.
-   */
+  /** Closes the idle connections to a replica that no longer exists. */
   forget(id: string): void {
-    for (const channel of this.idle.get(id) ?? []) channel.close();
-    this.idle.delete(id);
+    for (const channel of this.idleChannels.get(id) ?? []) channel.close();
+    this.idleChannels.delete(id);
   }
 
   /** Closes all connections. */
   close(): void {
-    for (const channels of this.open.values()) for (const channel of channels) channel.close();
+    for (const channels of this.openChannels.values()) for (const channel of channels) channel.close();
   }
 
-  private take(upstream: UpstreamAddress): Channel {
-    const idle = this.idle.get(upstream.id);
+  private acquire(upstream: UpstreamAddress): Channel {
+    const idle = this.idleChannels.get(upstream.id);
     for (let channel = idle?.pop(); channel !== undefined; channel = idle?.pop())
       if (channel.isUsable) return channel;
-    return this.make(upstream);
+    return this.create(upstream);
   }
 
-  private make({ id, host, port }: UpstreamAddress, tell?: () => void): Channel {
+  private create({ id, host, port }: UpstreamAddress, notifyClosed?: () => void): Channel {
     this.opened += 1;
-    const channels = this.open.get(id) ?? new Set();
-    this.open.set(id, channels);
+    const channels = this.openChannels.get(id) ?? new Set();
+    this.openChannels.set(id, channels);
     const onClosed = (closed: Channel): void => {
       channels.delete(closed);
-      if (channels.size === 0) this.open.delete(id);
-      tell?.();
+      if (channels.size === 0) this.openChannels.delete(id);
+      notifyClosed?.();
     };
     const channel = new Channel({ host, port, connectTimeoutMs: CONNECT_TIMEOUT_MS, onClosed });
     channels.add(channel);
     return channel;
   }
 
-  private giveBack(id: string, channel: Channel): void {
+  private release(id: string, channel: Channel): void {
     if (!channel.isUsable) {
       channel.close();
       return;
     }
-    const idle = this.idle.get(id) ?? [];
+    const idle = this.idleChannels.get(id) ?? [];
     idle.push(channel);
-    this.idle.set(id, idle);
+    this.idleChannels.set(id, idle);
   }
 }
--- a/packages/routing/src/core/channels/types.ts
+++ b/packages/routing/src/core/channels/types.ts
@@ -1,44 +1,44 @@
-/** One HTTP exchange with a replica. */
+/** HTTP exchanges with replicas. */
 
-/** Headers of an answer, by name in lower case. */
+/** Headers of a response, by name in lower case. */
 export type HeaderMap = Readonly<Record<string, string | readonly string[] | undefined>>;
 
 /** A request to a replica. */
 export interface UpstreamCall {
   readonly method: string;
-  /** Path with its query. */
+  /** Path with the query. */
   readonly path: string;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer | undefined;
 }
 
 /** Why an exchange failed. */
 export enum ChannelFailure {
-  /** No byte was handed to a connection. */
+  /** No byte was handed to a connection, so the request can't have run. */
   NotSent = 'notSent',
-  /** The request was sent; it may have run. */
+  /** The request was sent, and may have run. */
   Broken = 'broken',
-  /** This daemon gave it up. */
+  /** This daemon cancelled the request after it was sent, so it may have run. */
   Cancelled = 'cancelled',
 }
 
-/** Told of the steps of an exchange; after the end or a failure it hears nothing more. */
+/** Callbacks for the steps of an exchange; none is called after the end or a failure. */
 export interface AnswerSink {
   /** The first byte is handed to a connection: from now on the request may run. */
   onSent(): void;
-  /** The head of the answer has come. */
+  /** The head of the response has arrived. */
   onHead(status: number, headers: HeaderMap): void;
-  /** Bytes of the body. */
+  /** Bytes of the body have arrived. */
   onData(chunk: Buffer): void;
-  /** The answer is complete. */
+  /** The response is complete. */
   onEnd(): void;
   /** The exchange failed. */
   onFail(failure: ChannelFailure, err: Error): void;
 }
 
-/** A running exchange. */
+/** Handle of a running exchange. */
 export interface RunningExchange {
-  /** Breaks it off; the replica sees the connection close. */
+  /** Cancels the exchange; the replica sees the connection close. */
   cancel(reason: string): void;
 }
--- a/packages/routing/test/channels.test.ts
+++ b/packages/routing/test/channels.test.ts
@@ -1,4 +1,4 @@
-/** What is known of an exchange, whatever the replica does, shown over raw sockets. */
+/** Outcomes of exchanges with replicas that misbehave, over raw sockets. */
 import { EventEmitter, once } from 'node:events';
 
 import { createSystemTimers } from '@celeryyoke/core';
@@ -41,30 +41,30 @@
       headers: ['host', 'h'],
       body: body === undefined ? undefined : Buffer.from(body),
     };
-    const running = pool.send({ id: 'r', host: '127.0.0.1', port }, call, sink);
-    if (cancelAfterMs !== undefined) setTimeout(() => running.cancel('test'), cancelAfterMs);
+    const handle = pool.send({ id: 'r', host: '127.0.0.1', port }, call, sink);
+    if (cancelAfterMs !== undefined) setTimeout(() => handle.cancel('test'), cancelAfterMs);
   });
 }
 
-const OK = 'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\n';
+const OK_HEAD = 'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\n';
 
-async function against(
-  answer: (req: RawRequest, number: number) => void,
-  play: (port: number, pool: ChannelPool, connections: () => number) => Promise<void>,
+async function withReplica(
+  respond: (req: RawRequest, number: number) => void,
+  run: (port: number, pool: ChannelPool, connections: () => number) => Promise<void>,
 ): Promise<void> {
-  const replica = await startReplica(answer);
+  const replica = await startReplica(respond);
   const pool = new ChannelPool();
   try {
-    await play(replica.port, pool, replica.connections);
+    await run(replica.port, pool, replica.connections);
   } finally {
     pool.close();
     await replica.close();
   }
 }
 
-test('a whole answer ends as complete, and its connection is used again', (t) =>
-  against(
-    ({ socket }) => socket.write(`${OK}Content-Length: 2\r\n\r\nhi`),
+test('a complete response ends the exchange, and its connection is reused', (t) =>
+  withReplica(
+    ({ socket }) => socket.write(`${OK_HEAD}Content-Length: 2\r\n\r\nhi`),
     async (port, pool, connections) => {
       for (let round = 0; round < 3; round += 1)
         t.like(await exchange(pool, port), { end: 'complete', body: 'hi' });
@@ -72,7 +72,7 @@
     },
   ));
 
-test('a refused connection proves that nothing was sent', async (t) => {
+test('a refused connection shows that nothing was sent', async (t) => {
   const replica = await startReplica(() => undefined);
   await replica.close();
   const pool = new ChannelPool();
@@ -80,38 +80,38 @@
   pool.close();
 });
 
-test('a reset before the answer leaves the outcome open', (t) =>
-  against(
+test('a reset before the response leaves the outcome unknown', (t) =>
+  withReplica(
     ({ socket }) => socket.resetAndDestroy(),
     async (port, pool) => {
       t.like(await exchange(pool, port, 'body'), { end: ChannelFailure.Broken, wasSent: true });
     },
   ));
 
-test('an answer shorter than its length is broken', (t) =>
-  against(
-    ({ socket }) => socket.end(`${OK}Content-Length: 10\r\n\r\nhi`),
+test('a response shorter than its length is broken', (t) =>
+  withReplica(
+    ({ socket }) => socket.end(`${OK_HEAD}Content-Length: 10\r\n\r\nhi`),
     async (port, pool) => {
       t.like(await exchange(pool, port), { end: ChannelFailure.Broken });
     },
   ));
 
-test('chunks without their end are broken', (t) =>
-  against(
-    ({ socket }) => socket.end(`${OK}Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n`),
+test('a chunked response without its last chunk is broken', (t) =>
+  withReplica(
+    ({ socket }) => socket.end(`${OK_HEAD}Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n`),
     async (port, pool) => {
       t.like(await exchange(pool, port), { end: ChannelFailure.Broken });
     },
   ));
 
-test('an answer without a length is complete when its connection ends, and broken when it is reset', async (t) => {
-  await against(
+test('a response without a length is complete on a close and broken on a reset', async (t) => {
+  await withReplica(
     ({ socket }) => socket.end('HTTP/1.1 200 OK\r\n\r\nhello'),
     async (port, pool) => {
       t.like(await exchange(pool, port), { end: 'complete', body: 'hello' });
     },
   );
-  await against(
+  await withReplica(
     ({ socket }) => {
       socket.write('HTTP/1.1 200 OK\r\n\r\nhel');
       setTimeout(() => socket.resetAndDestroy(), 50);
@@ -122,19 +122,19 @@
   );
 });
 
-test('bytes that are no answer break the exchange', (t) =>
-  against(
+test('bytes that are no HTTP response break the exchange', (t) =>
+  withReplica(
     ({ socket }) => socket.write('garbage\r\n\r\n'),
     async (port, pool) => {
       t.like(await exchange(pool, port), { end: ChannelFailure.Broken });
     },
   ));
 
-test('bytes behind a complete answer belong to nobody: the connection is not used again', (t) =>
-  against(
+test('a connection with bytes after a complete response is not reused', (t) =>
+  withReplica(
     ({ socket }, number) => {
-      socket.write(`${OK}Content-Length: 2\r\n\r\n${number}!`);
-      if (number === 1) socket.write(`${OK}Content-Length: 5\r\n\r\nextra`);
+      socket.write(`${OK_HEAD}Content-Length: 2\r\n\r\n${number}!`);
+      if (number === 1) socket.write(`${OK_HEAD}Content-Length: 5\r\n\r\nextra`);
     },
     async (port, pool, connections) => {
       t.like(await exchange(pool, port), { end: 'complete', body: '1!' });
@@ -146,9 +146,9 @@
     },
   ));
 
-test('an early answer to a long body spoils no later request', (t) =>
-  against(
-    ({ socket }) => socket.write(`${OK}Content-Length: 2\r\n\r\nok`),
+test('a response before the end of a long request body does not disturb later requests', (t) =>
+  withReplica(
+    ({ socket }) => socket.write(`${OK_HEAD}Content-Length: 2\r\n\r\nok`),
     async (port, pool) => {
       const outcomes = [await exchange(pool, port, 'x'.repeat(200_000)), await exchange(pool, port, 'short')];
       t.deepEqual(
@@ -158,21 +158,21 @@
     },
   ));
 
-test('a request that is given up is never sent, or leaves the outcome open', (t) =>
-  against(
+test('a request that is cancelled after it was sent leaves the outcome unknown', (t) =>
+  withReplica(
     () => undefined,
     async (port, pool) => {
       t.like(await exchange(pool, port, 'body', 100), { end: ChannelFailure.Cancelled, wasSent: true });
     },
   ));
 
-test('a request that is given up resets its connection, so that no byte of it arrives later', async (t) => {
+test('a cancelled request resets its connection, so that no byte of it arrives later', async (t) => {
   const pool = new ChannelPool();
-  const steps = new EventEmitter();
+  const events = new EventEmitter();
   const replica = await startReplica(({ socket }) => {
-    socket.once('error', (err: NodeJS.ErrnoException) => steps.emit('end', err.code));
-    socket.once('end', () => steps.emit('end', 'closed'));
-    steps.emit('arrived');
+    socket.once('error', (err: NodeJS.ErrnoException) => events.emit('end', err.code));
+    socket.once('end', () => events.emit('end', 'closed'));
+    events.emit('arrived');
   });
   const sink: AnswerSink = {
     onSent: () => undefined,
@@ -182,17 +182,17 @@
     onFail: () => undefined,
   };
   const call = { method: 'POST', path: '/x', headers: ['host', 'h'], body: Buffer.from('body') };
-  const running = pool.send({ id: 'r', host: '127.0.0.1', port: replica.port }, call, sink);
-  // Given up only when the request has arrived for certain, however busy the machine is.
-  steps.once('arrived', () => running.cancel('test'));
-  const [how] = (await once(steps, 'end')) as [string];
-  t.is(how, 'ECONNRESET');
+  const handle = pool.send({ id: 'r', host: '127.0.0.1', port: replica.port }, call, sink);
+  // Cancelled only when the request has arrived for certain, however busy the machine is.
+  events.once('arrived', () => handle.cancel('test'));
+  const [endReason] = (await once(events, 'end')) as [string];
+  t.is(endReason, 'ECONNRESET');
   pool.close();
   await replica.close();
 });
 
-test('an answer that says it is the last is the last on its connection', (t) =>
-  against(
+test('a connection is not reused after a response with Connection: close', (t) =>
+  withReplica(
     ({ socket }) => socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok'),
     async (port, pool, connections) => {
       await exchange(pool, port);
@@ -201,33 +201,33 @@
     },
   ));
 
-const WHOLE = 'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 0\r\n\r\n';
+const EMPTY_RESPONSE = 'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 0\r\n\r\n';
 const CALL = { method: 'GET', path: '/x', headers: ['host', 'h'], body: undefined };
 const READ_OPTIONS = { timers: createSystemTimers(), timeoutMs: 800 };
 
-/** Opens a connection of its own to a replica that does as told. */
+/** Runs a test with an exclusive channel to a scripted replica. */
 async function withExclusive(
-  answer: (req: RawRequest, number: number) => void,
-  use: (channel: ExclusiveChannel, raw: RawReplica) => Promise<void>,
+  respond: (req: RawRequest, number: number) => void,
+  run: (channel: ExclusiveChannel, raw: RawReplica) => Promise<void>,
 ): Promise<void> {
-  const raw = await startReplica(answer);
+  const replica = await startReplica(respond);
   const pool = new ChannelPool();
   try {
-    const upstream = { id: 'i', host: '127.0.0.1', port: raw.port };
-    await use(
+    const upstream = { id: 'i', host: '127.0.0.1', port: replica.port };
+    await run(
       pool.openExclusive(upstream, () => undefined),
-      raw,
+      replica,
     );
   } finally {
     pool.close();
-    await raw.close();
+    await replica.close();
   }
 }
 
-test('calls on a connection of one’s own go one after the other', (t) =>
+test('calls on an exclusive channel run one after the other', (t) =>
   withExclusive(
     ({ socket }) => {
-      setTimeout(() => socket.write(WHOLE), 30);
+      setTimeout(() => socket.write(EMPTY_RESPONSE), 30);
     },
     async (channel, raw) => {
       const first = channel.call(CALL, READ_OPTIONS);
@@ -240,10 +240,10 @@
     },
   ));
 
-test('a connection of one’s own that has ended is not set up again', (t) =>
+test('an exclusive channel that was closed does not reconnect', (t) =>
   withExclusive(
     ({ socket }) => {
-      socket.end(WHOLE);
+      socket.end(EMPTY_RESPONSE);
     },
     async (channel, raw) => {
       await channel.call(CALL, READ_OPTIONS);
