--- a/packages/routing/src/core/catalog/index.ts
+++ b/packages/routing/src/core/catalog/index.ts
@@ -1,4 +1,4 @@
-/** The configuration of routes and services. */
+/** The configuration of routes, services and client accounts. */
 export { RouteTable } from './table.js';
 export type {
   CallerBounds,
--- a/packages/routing/src/core/catalog/table.ts
+++ b/packages/routing/src/core/catalog/table.ts
@@ -1,10 +1,10 @@
-/** Finds the route of a request in one version of the configuration. */
+/** Look-ups in one version of the configuration. */
 import type { AccountLookup, ClientAccount } from '../accounts/index.js';
 import type { Route, RoutingDocument, UpstreamService } from './types.js';
 
-/** The routes of one document, ready for look-ups. */
+/** Indexes the routes, services and client accounts of a document. */
 export class RouteTable implements AccountLookup {
-  private readonly byHost = new Map<string, Route[]>();
+  private readonly routesByHost = new Map<string, Route[]>();
 
   private readonly services = new Map<string, UpstreamService>();
 
@@ -12,17 +12,13 @@
 
   private readonly accountsByName = new Map<string, ClientAccount>();
 
-  /**
-   * Indexes a document.
-   * @param document - The configuration.
-   */
   constructor(readonly document: RoutingDocument) {
     for (const route of document.routes) {
-      const routes = this.byHost.get(route.host) ?? [];
+      const routes = this.routesByHost.get(route.host) ?? [];
       routes.push(route);
-      this.byHost.set(route.host, routes);
+      this.routesByHost.set(route.host, routes);
     }
-    for (const routes of this.byHost.values())
+    for (const routes of this.routesByHost.values())
       routes.sort((left, right) => right.prefix.length - left.prefix.length);
     for (const service of document.services) this.services.set(service.name, service);
     for (const account of document.accounts ?? []) {
@@ -32,13 +28,12 @@
   }
 
   /**
-   * Finds the route with the longest prefix of a path.
+   * Finds the route of a host with the longest matching path prefix.
    * @param host - Host without its port.
    * @param path - Path without its query.
-   * @returns The route, or undefined when none matches.
    */
   match(host: string, path: string): Route | undefined {
-    return this.byHost.get(host.toLowerCase())?.find((route) => path.startsWith(route.prefix));
+    return this.routesByHost.get(host.toLowerCase())?.find((route) => path.startsWith(route.prefix));
   }
 
   get hasAccounts(): boolean {
@@ -49,20 +44,12 @@
     return this.accountsByKey.get(keyDigest);
   }
 
-  /**
-   * Finds an account.
-   * @param name - Its name.
-   * @returns The account, or undefined when the document has none of that name.
-   */
+  /** Returns the account of a name, or undefined when the document has none. */
   account(name: string): ClientAccount | undefined {
     return this.accountsByName.get(name);
   }
 
-  /**
-   * Finds a service.
-   * @param name - Its name.
-   * @returns The service, or undefined when the document has none of that name.
-   */
+  /** Returns the service of a name, or undefined when the document has none. */
   service(name: string): UpstreamService | undefined {
     return this.services.get(name);
   }
--- a/packages/routing/src/core/catalog/types.ts
+++ b/packages/routing/src/core/catalog/types.ts
@@ -1,48 +1,54 @@
-/** What operators declare: routes, upstream services, client accounts and the bounds of what a caller may send. */
+/**
+ * The configuration that operators declare: routes, upstream services, client accounts and bounds for
+ * callers.
+ */
 import type { ClientAccount } from '../accounts/index.js';
 
-/** What may be repeated of a request. */
+/** How often a request of a route may run. */
 export enum RouteKind {
-  /** May run more than once. */
+  /** Any number of times. */
   Safe = 'safe',
-  /** Runs at most once for each attempt of the caller. */
+  /** At most once for each request that a caller sends. */
   Unsafe = 'unsafe',
-  /** Answers with a stream of events; repeated only where the route is resumable. */
+  /** The response is a stream of events; the request is retried only where the route is resumable. */
   Streaming = 'streaming',
 }
 
-/** One service that a route leads to, and its share of the route's requests. */
+/** A service that a route leads to, and its share of the route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Weight against the other targets of the route. */
+  /** Weight relative to the other targets of the route. */
   readonly weight: number;
 }
 
-/** A route, chosen by host and longest path prefix. */
+/** A route, selected by host and longest path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKind;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Longest time until the caller gets its response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer is on time, in milliseconds; of a stream, its first event. */
+  /** Time within which a response is on time, in milliseconds; for a stream, its first event. */
   readonly objectiveMs: number;
-  /** Urgency; 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
   readonly targets: readonly RouteTarget[];
-  /** Upstreams that one attempt of a caller may run on. */
+  /** Upstreams that one request of a caller may run on. */
   readonly maxAttempts: number;
-  /** Longest pause between two events for which a stream is still on time, in milliseconds; undefined where none is stated. */
+  /**
+   * Longest gap between two events with which a stream is on time, in milliseconds; undefined where none is
+   * declared.
+   */
   readonly maxPauseMs: number | undefined;
-  /** Whether a broken stream may go on at another upstream. */
+  /** Whether a broken stream may be resumed at another upstream. */
   readonly isResumable: boolean;
   /** Whether requests need no key. */
   readonly isAnonymous: boolean;
 }
 
-/** A base model that engines of a service may hold. */
+/** A base model that engines of a service may have loaded. */
 export interface EngineModel {
   readonly name: string;
   /** Size of its weights in megabytes. */
@@ -51,29 +57,29 @@
   readonly adapterMb: number;
 }
 
-/** What the engines of a service are like. */
+/** Properties of the engines of a service. */
 export interface EngineSpec {
   /** Requests that one engine batches. */
   readonly slots: number;
   /** Memory of one engine for weights and adapters, in megabytes. */
   readonly memoryMb: number;
-  /** Adapters that one engine may hold. */
+  /** Adapters that may be resident on one engine. */
   readonly adapterSlots: number;
-  /** Whole models that the weight store gives out a second, over all engines. */
+  /** Models that the weight store delivers per second, over all engines. */
   readonly modelLoadsPerSecond: number;
   readonly models: readonly EngineModel[];
 }
 
-/** A service with its replicas' common properties. */
+/** A service and the common properties of its replicas. */
 export interface UpstreamService {
   readonly name: string;
-  /** Connections that one replica takes from all daemons together. */
+  /** Connections that one replica accepts from all daemons together. */
   readonly maxConnections: number;
   /** Set where the replicas are inference engines. */
   readonly engine: EngineSpec | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Bounds of what a caller may send, and of how long it may take. */
 export interface CallerBounds {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -81,12 +87,12 @@
   readonly idleTimeoutMs: number;
 }
 
-/** The whole configuration; versions rise. */
+/** The whole configuration; a newer one has a higher version. */
 export interface RoutingDocument {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly UpstreamService[];
   readonly bounds: CallerBounds;
-  /** Undefined where the configuration declares none: then keys are not looked at. */
+  /** Undefined where the configuration declares no accounts; keys are not checked then. */
   readonly accounts: readonly ClientAccount[] | undefined;
 }
