--- a/packages/routing/src/core/accounts/quotas.ts
+++ b/packages/routing/src/core/accounts/quotas.ts
@@ -103,8 +103,8 @@
 export interface AccountQuotasOptions {
   /** Address of this daemon. */
   readonly self: string;
-  readonly cluster: Pick<Cluster, 'alive' | 'possible' | 'request' | 'handle'>;
-  readonly tree: Pick<DisseminationTree, 'register' | 'publish' | 'ageMs' | 'isPlaced'>;
+  readonly cluster: Pick<Cluster, 'aliveAddresses' | 'aliveOrSilentCount' | 'request' | 'handle'>;
+  readonly tree: Pick<DisseminationTree, 'register' | 'publish' | 'rootBatchAgeMs' | 'hasSharedState'>;
   /** Window of the quotas, in milliseconds. */
   readonly windowMs: number;
   readonly timers: TimerService;
@@ -114,7 +114,7 @@
   /** Whether the daemon's view of the fleet has settled after a start or a pause. */
   readonly isSettled: () => boolean;
   /** Shares of the fleet's allowances, by what this daemon knows of the fleet. */
-  readonly share: Pick<FleetShare, 'side' | 'one'>;
+  readonly share: Pick<FleetShare, 'partitionShare' | 'isolatedShare'>;
   /** Addresses of daemons that are expected to exist. */
   readonly seeds: () => readonly string[];
   /** Whether the whole fleet starts for the first time, before any client. */
@@ -147,7 +147,7 @@
   constructor(private readonly options: AccountQuotasOptions) {
     const { self, cluster, tree, timers, log, windowMs, share } = options;
     this.startedAt = timers.now();
-    this.owners = new AccountOwners(() => cluster.alive());
+    this.owners = new AccountOwners(() => cluster.aliveAddresses());
     this.ledger = new QuotaLedger({
       self,
       windowMs,
@@ -156,7 +156,7 @@
       rows: this.rows,
       owns: (account) => this.owners.ownerOf(account) === self,
       start: () => this.ledgerStart(),
-      aliveShare: () => share.side(),
+      aliveShare: () => share.partitionShare(),
       publish: (row) => tree.publish(Topic.AccountQuota, row),
     });
     this.reporter = new UsageReporter({
@@ -228,7 +228,7 @@
     { share }: LocalAccount,
   ): QuotaDecision {
     const now = this.options.timers.now();
-    const fleetShare = this.options.share.one();
+    const fleetShare = this.options.share.isolatedShare();
     const allowedShare = this.areOwnersKnown() ? fleetShare : Math.min(MAX_UNSETTLED_SHARE, fleetShare);
     if (!share.tryAdmit(quota, allowedShare, units, now))
       return refused(QuotaDecider.OwnShare, share.retryAfterMs(now));
@@ -243,7 +243,7 @@
   private areOwnersKnown(): boolean {
     const { self, cluster, timers, isSettled, seeds, isFirstStart } = this.options;
     if (!isSettled()) return false;
-    if (isFirstStart || cluster.alive().length > 1 || timers.now() - this.startedAt > DISCOVERY_MS)
+    if (isFirstStart || cluster.aliveAddresses().length > 1 || timers.now() - this.startedAt > DISCOVERY_MS)
       return true;
     return seeds().every((seed) => seed === self);
   }
@@ -255,9 +255,9 @@
    */
   private isOpen(name: string, { burst }: AccountQuota): boolean {
     const { tree, timers, cluster } = this.options;
-    if (!tree.isPlaced || tree.ageMs > MAX_STATE_AGE_MS) return false;
+    if (!tree.hasSharedState || tree.rootBatchAgeMs > MAX_STATE_AGE_MS) return false;
     if (this.rows.isGuarded(name, timers.now()) || this.reporter.isUnreachable(name)) return false;
-    const maxUnconfirmedUnits = (burst * MAX_UNCONFIRMED_SHARE) / cluster.possible();
+    const maxUnconfirmedUnits = (burst * MAX_UNCONFIRMED_SHARE) / cluster.aliveOrSilentCount();
     return this.reporter.unconfirmedUnits(name) <= maxUnconfirmedUnits;
   }
 
--- a/packages/routing/src/core/adapters/adapter-loader.ts
+++ b/packages/routing/src/core/adapters/adapter-loader.ts
@@ -65,7 +65,7 @@
    */
   async ensure(replica: ReplicaEntry, ref: AdapterRef, urgency: Urgency): Promise<boolean> {
     const { leases, self, cluster, residency } = this.options;
-    const lease = leases.of(replica.id);
+    const lease = leases.leaseOf(replica.id);
     if (lease === undefined) throw new AdapterUnavailable('The engine has no owner at present.');
     residency.reserveSlot(replica.id);
     const request: EnsureRequest = { ...ref, ...urgency, replica: replica.id };
@@ -143,7 +143,7 @@
    * @param key - `model/adapter`.
    * @param uses - Requests started since its previous report.
    */
-  use(replica: string, key: string, uses: number): void {
+  recordUses(replica: string, key: string, uses: number): void {
     this.owners.get(replica)?.recordUses(key, uses);
   }
 
--- a/packages/routing/src/core/cluster/cluster.ts
+++ b/packages/routing/src/core/cluster/cluster.ts
@@ -218,12 +218,12 @@
   }
 
   /** Sorted addresses of the living members, this daemon included. */
-  alive(): readonly string[] {
+  aliveAddresses(): readonly string[] {
     return this.members.alive();
   }
 
   /** Number of members that may be running, this daemon included: those that are alive or silent. */
-  possible(): number {
+  aliveOrSilentCount(): number {
     return this.members.aliveOrSilentCount();
   }
 
@@ -304,7 +304,7 @@
 
   private tick(): void {
     const now = this.options.timers.now();
-    this.joinSeeds(now, this.alive().length === 1);
+    this.joinSeeds(now, this.aliveAddresses().length === 1);
     const targets = this.members.successors(this.probeCount);
     for (const target of targets) this.probe(target, now);
     this.adjustProbeCount(targets);
--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -23,8 +23,8 @@
   /** Address of this daemon. */
   readonly self: string;
   readonly cluster: Pick<Cluster, 'send'>;
-  readonly leases: Pick<EngineLeases, 'of'>;
-  readonly loader: Pick<AdapterLoader, 'setRunning' | 'use'>;
+  readonly leases: Pick<EngineLeases, 'leaseOf'>;
+  readonly loader: Pick<AdapterLoader, 'setRunning' | 'recordUses'>;
   readonly inFlight: InFlightTable;
   readonly timers: TimerService;
 }
@@ -82,7 +82,7 @@
 
   private recordChange(replica: string, key: string | undefined): void {
     const { leases, self, timers, loader, inFlight } = this.options;
-    const owner = leases.of(replica)?.holder;
+    const owner = leases.leaseOf(replica)?.holder;
     if (owner === undefined) return;
     if (owner === self) {
       if (key !== undefined) this.countLocally(replica, key);
@@ -97,14 +97,14 @@
 
   private countLocally(replica: string, key: string): void {
     const { begun } = this.options.inFlight.collectOwnAdapterUse(replica, key);
-    if (begun > 0) this.options.loader.use(replica, key, begun);
+    if (begun > 0) this.options.loader.recordUses(replica, key, begun);
   }
 
   private flush(): void {
     this.flushTimer = undefined;
     const reports = new Map<string, ReportDraft>();
     for (const replica of [...this.changed.keys()]) {
-      const owner = this.options.leases.of(replica)?.holder;
+      const owner = this.options.leases.leaseOf(replica)?.holder;
       const { replicas, adapters } = this.takeChanges(replica);
       if (owner !== undefined && owner !== this.options.self) addToReport(reports, owner, replicas, adapters);
     }
@@ -117,7 +117,7 @@
     // An owner to which requests were reported must also learn that none are left.
     for (const owner of this.informedOwners) addToReport(reports, owner, [], []);
     for (const replica of inFlight.ownReplicas()) {
-      const owner = leases.of(replica)?.holder;
+      const owner = leases.leaseOf(replica)?.holder;
       if (owner === undefined || owner === self) continue;
       this.changed.delete(replica);
       const adapters = inFlight
--- a/packages/routing/src/core/daemon/metrics.ts
+++ b/packages/routing/src/core/daemon/metrics.ts
@@ -35,13 +35,17 @@
   metrics.sample('router_requests_running', 'Requests in progress.', () => requests.running);
   metrics.sample('router_view_age_ms', 'Age of what is known of the platform.', () => view.ageMs);
   metrics.sample('router_config_version', 'Version of the configuration in force.', configVersion);
-  metrics.sample('router_peers_alive', 'Living daemons, this one included.', () => cluster.alive().length);
+  metrics.sample(
+    'router_peers_alive',
+    'Living daemons, this one included.',
+    () => cluster.aliveAddresses().length,
+  );
   metrics.sample(
     'router_peer_links',
     'Links that this daemon has open to others.',
     () => cluster.openLinkCount,
   );
-  metrics.sample('router_state_age_ms', 'Age of the last batch of shared state.', () => tree.ageMs);
+  metrics.sample('router_state_age_ms', 'Age of the last batch of shared state.', () => tree.rootBatchAgeMs);
   metrics.sample(
     'router_state_subscribers',
     'Daemons that get the shared state from this one.',
--- a/packages/routing/src/core/daemon/peer-protocol.ts
+++ b/packages/routing/src/core/daemon/peer-protocol.ts
@@ -90,7 +90,8 @@
   mergeReport(peer: string, report: InFlightReport): void {
     const { inFlight, loader } = this.options;
     inFlight.mergeReport(peer, report);
-    for (const { replica, key, begun } of report.adapters) if (begun > 0) loader.use(replica, key, begun);
+    for (const { replica, key, begun } of report.adapters)
+      if (begun > 0) loader.recordUses(replica, key, begun);
     for (const { replica } of report.replicas)
       loader.setRunning(replica, () => inFlight.runningByAdapter(replica));
   }
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -65,7 +65,11 @@
     private readonly kernel: ServiceFinder,
   ) {
     const { log, timers } = options;
-    this.memberLog = new MemberLog(log, timers, () => this.get<Cluster>(PART.cluster).alive().length);
+    this.memberLog = new MemberLog(
+      log,
+      timers,
+      () => this.get<Cluster>(PART.cluster).aliveAddresses().length,
+    );
   }
 
   /** Services in the order of their dependencies, for the kernel to start. */
@@ -318,8 +322,8 @@
     const cluster = kernel.get<Cluster>(PART.cluster);
     const tree = kernel.get<DisseminationTree>(PART.tree);
     return new FleetSettling({
-      alive: () => cluster.alive(),
-      hasSharedState: () => tree.isPlaced,
+      alive: () => cluster.aliveAddresses(),
+      hasSharedState: () => tree.hasSharedState,
       timers: this.options.timers,
     });
   }
@@ -361,8 +365,8 @@
   private isUpToDate(): boolean {
     const cluster = this.get<Cluster>(PART.cluster);
     const hasRecentMessages =
-      cluster.alive().length <= 1 || cluster.sinceLastReceivedMs() < MAX_FLEET_VIEW_AGE_MS;
-    return hasRecentMessages && this.get<DisseminationTree>(PART.tree).ageMs < MAX_FLEET_VIEW_AGE_MS;
+      cluster.aliveAddresses().length <= 1 || cluster.sinceLastReceivedMs() < MAX_FLEET_VIEW_AGE_MS;
+    return hasRecentMessages && this.get<DisseminationTree>(PART.tree).rootBatchAgeMs < MAX_FLEET_VIEW_AGE_MS;
   }
 
   private makeLeases(kernel: ServiceFinder): EngineLeases {
@@ -450,8 +454,8 @@
       view,
       source,
       timers,
-      rank: () => storeReaderRank(self, cluster.alive(), (address) => cluster.member(address)?.zone),
-      isAlone: () => cluster.alive().length <= 1,
+      rank: () => storeReaderRank(self, cluster.aliveAddresses(), (address) => cluster.member(address)?.zone),
+      isAlone: () => cluster.aliveAddresses().length <= 1,
       isFirstStart: this.options.settings.isFirstStart,
       random: Math.random,
       publish: (hasChanges) => tree.publishView(hasChanges),
@@ -464,7 +468,7 @@
           rank,
           viewAgeMs: roundAge(ageMs),
           revision: view.upTo,
-          peers: cluster.alive().length - 1,
+          peers: cluster.aliveAddresses().length - 1,
         }),
     });
     watcher.start();
@@ -539,7 +543,7 @@
           log,
           ensure,
         }),
-        notHeld: (replica, key) => residency.markAbsent(replica, key),
+        noteNotResident: (replica, key) => residency.markAbsent(replica, key),
         metrics: new RequestMetrics(kernel.get<Metrics>(PART.metrics)),
         viewAgeMs: () => roundAge(view.ageMs),
         fleetShare: () => share.ownShare(),
--- a/packages/routing/src/core/dissemination/tree.ts
+++ b/packages/routing/src/core/dissemination/tree.ts
@@ -64,7 +64,7 @@
   readonly self: string;
   readonly cluster: Pick<
     Cluster,
-    | 'alive'
+    | 'aliveAddresses'
     | 'digest'
     | 'handle'
     | 'handlePush'
@@ -158,7 +158,7 @@
     cluster.handle(MessageType.Unsubscribe, (from) => this.subscriberTable.remove(from.address));
     cluster.handle(MessageType.Update, (_from, body) => this.handleUpdate(decodeBatch(body)));
     cluster.handle(MessageType.Clock, () => timers.now());
-    cluster.handle(MessageType.RootAge, () => Math.round(this.ageMs));
+    cluster.handle(MessageType.RootAge, () => Math.round(this.rootBatchAgeMs));
     cluster.handle(MessageType.ViewChanges, (_from, upTo: number) => options.view.deltaSince(upTo));
     cluster.handlePush((from, body) => this.handlePush(from, decodeBatch(body)));
     cluster.onLinkEnd((address) => this.handleLinkEnd(address));
@@ -182,12 +182,12 @@
   }
 
   /** Age of the last batch of a root, in milliseconds; 0 for the root itself. */
-  get ageMs(): number {
+  get rootBatchAgeMs(): number {
     return this.isRoot ? 0 : this.options.timers.now() - this.rootBatchAt;
   }
 
   /** Whether this daemon is the root or has received the whole state from its parent. */
-  get isPlaced(): boolean {
+  get hasSharedState(): boolean {
     return this.isRoot || this.isSubscribed;
   }
 
@@ -445,8 +445,10 @@
   private async becomeRoot(): Promise<void> {
     const { self, cluster } = this.options;
     if (this.isRequestingRootAge) return;
-    const candidates = cluster.alive().filter((address) => address !== self && !this.isExcluded(address));
-    const isFirst = cluster.alive()[0] === self;
+    const candidates = cluster
+      .aliveAddresses()
+      .filter((address) => address !== self && !this.isExcluded(address));
+    const isFirst = cluster.aliveAddresses()[0] === self;
     const [witness] = candidates;
     if (isFirst || witness === undefined) {
       this.attach(undefined);
@@ -472,7 +474,7 @@
     const { self, cluster } = this.options;
     return chooseParent({
       self,
-      alive: cluster.alive(),
+      alive: cluster.aliveAddresses(),
       zoneOf: (address) => cluster.member(address)?.zone,
       isExcluded: (address) => this.isExcluded(address),
     });
--- a/packages/routing/src/core/limits/replica-limits.ts
+++ b/packages/routing/src/core/limits/replica-limits.ts
@@ -36,8 +36,8 @@
 export interface ReplicaLimitsOptions {
   /** Address of this daemon. */
   readonly self: string;
-  readonly cluster: Pick<Cluster, 'alive' | 'request' | 'handle'>;
-  readonly share: Pick<FleetShare, 'side' | 'one'>;
+  readonly cluster: Pick<Cluster, 'aliveAddresses' | 'request' | 'handle'>;
+  readonly share: Pick<FleetShare, 'partitionShare' | 'isolatedShare'>;
   readonly tree: Pick<DisseminationTree, 'register' | 'publish'>;
   readonly registry: Pick<ReplicaRegistry, 'onReplica' | 'replica'>;
   readonly timers: TimerService;
@@ -109,7 +109,7 @@
 
   private permitFor(row: ReplicaLimitRow): SendPermit | Promise<SendPermit> {
     const { self, cluster } = this.options;
-    const coordinator = rendezvousOwner(row.replica, cluster.alive());
+    const coordinator = rendezvousOwner(row.replica, cluster.aliveAddresses());
     return coordinator === undefined || coordinator === self
       ? this.permitFromFleetRate(row)
       : this.requestPermit(coordinator, row);
@@ -141,12 +141,12 @@
   /** Spaces the requests of all daemons that can reach this one. */
   private permitFromFleetRate({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
     if (ratePerSecond === undefined) return GRANTED;
-    const share = this.options.share.side();
+    const share = this.options.share.partitionShare();
     return this.takeFrom(this.fleetPacers, replica, Math.max(MIN_FLEET_RATE, ratePerSecond * share));
   }
 
   private permitFromOwnShare({ replica, ratePerSecond }: ReplicaLimitRow): SendPermit {
-    const share = Math.max(MIN_SHARE, this.options.share.one());
+    const share = Math.max(MIN_SHARE, this.options.share.isolatedShare());
     return this.takeFrom(this.ownSharePacers, replica, Math.max(MIN_FLEET_RATE, ratePerSecond!) * share);
   }
 
--- a/packages/routing/src/core/ownership/engine-leases.ts
+++ b/packages/routing/src/core/ownership/engine-leases.ts
@@ -47,9 +47,9 @@
 /** Fleet membership as the leases see it. */
 export interface FleetMembership {
   /** Addresses of the living daemons. */
-  alive(): readonly string[];
+  aliveAddresses(): readonly string[];
   /** Number of daemons that may be running: alive or silent. */
-  possible(): number;
+  aliveOrSilentCount(): number;
   state(address: string): MemberState;
   /** Time since a daemon was last alive, in milliseconds; 0 while it is alive. */
   downForMs(address: string): number;
@@ -103,7 +103,7 @@
    * @param replica - Incarnation of the engine.
    * @returns The lease, or undefined when the engine has no owner.
    */
-  of(replica: string): EngineLease | undefined {
+  leaseOf(replica: string): EngineLease | undefined {
     return this.leases.get(replica);
   }
 
@@ -180,7 +180,7 @@
   claimUnowned(replicas: Iterable<string>): void {
     const { hasSettled, isRecovering, fleet, self } = this.options;
     if (this.isClosed || this.isLeaving || !hasSettled() || isRecovering()) return;
-    const alive = fleet.alive();
+    const alive = fleet.aliveAddresses();
     for (const replica of replicas)
       if (this.isClaimable(replica) && rendezvousOwner(replica, alive) === self) this.claim(replica);
   }
@@ -218,8 +218,8 @@
    */
   private hasQuorum(waitLeases: number): boolean {
     const { fleet, leaseMs } = this.options;
-    const alive = fleet.alive().length;
-    if (alive * 2 >= fleet.possible()) return true;
+    const alive = fleet.aliveAddresses().length;
+    if (alive * 2 >= fleet.aliveOrSilentCount()) return true;
     if (waitLeases === 0) return false;
     return this.minorityForMs() > waitLeases * leaseMs;
   }
@@ -227,7 +227,7 @@
   /** How long this daemon has seen less than half of the fleet alive. */
   private minorityForMs(): number {
     const { fleet, timers } = this.options;
-    const isMinority = fleet.alive().length * 2 < fleet.possible();
+    const isMinority = fleet.aliveAddresses().length * 2 < fleet.aliveOrSilentCount();
     if (!isMinority) this.minoritySince = undefined;
     else this.minoritySince ??= timers.now();
     return this.minoritySince === undefined ? 0 : timers.now() - this.minoritySince;
--- a/packages/routing/src/core/pacing/admission.ts
+++ b/packages/routing/src/core/pacing/admission.ts
@@ -36,7 +36,7 @@
   /** Address of this daemon. */
   readonly self: string;
   readonly cluster: Pick<Cluster, 'request' | 'handle'>;
-  readonly leases: Pick<EngineLeases, 'of'>;
+  readonly leases: Pick<EngineLeases, 'leaseOf'>;
   readonly registry: Pick<ReplicaRegistry, 'onReplica' | 'replica'>;
   readonly timers: TimerService;
   readonly log: DecisionLog;
@@ -91,7 +91,7 @@
     prompt: Prompt,
   ): Promise<AdmissionDecision> {
     const { leases, self, cluster, log, takeChanges } = this.options;
-    const owner = leases.of(replica)?.holder;
+    const owner = leases.leaseOf(replica)?.holder;
     if (owner === undefined) return ADMITTED_WITHOUT_OWNER;
     const prefillSamples = this.unreportedSamples.get(replica) ?? [];
     this.unreportedSamples.delete(replica);
--- a/packages/routing/src/core/requests/attempt.ts
+++ b/packages/routing/src/core/requests/attempt.ts
@@ -90,7 +90,7 @@
     this.firstByteMs = this.options.timers.now() - this.startedAt;
     this.status = status;
     this.headers = headers;
-    this.metadata = this.options.dialect.readAnswer(status, headers);
+    this.metadata = this.options.dialect.readResponse(status, headers);
     const { requestId, limitPerSecond } = this.metadata;
     const isOfOtherRequest = requestId !== undefined && requestId !== this.options.requestId;
     if (!isOfOtherRequest) this.options.onRateLimit(limitPerSecond);
--- a/packages/routing/src/core/requests/execution.ts
+++ b/packages/routing/src/core/requests/execution.ts
@@ -61,7 +61,7 @@
   readonly admission: PromptAdmission;
   readonly limits: ReplicaLimits;
   /** Notes that an adapter is not resident on an engine. */
-  readonly notHeld: (replica: string, key: string) => void;
+  readonly noteNotResident: (replica: string, key: string) => void;
   /** Age of this daemon's view of the platform, in milliseconds. */
   readonly viewAgeMs: () => number;
   readonly quotas: AccountQuotas;
@@ -222,7 +222,7 @@
     choice: Choice,
     continuation: string | undefined,
   ): Promise<AttemptResult | undefined> {
-    const { inFlight, chooser, notHeld } = this.parts;
+    const { inFlight, chooser, noteNotResident } = this.parts;
     const { replica } = choice;
     const key = this.adapterKey();
     // The request counts as in flight from now on, so that its adapter is not evicted.
@@ -237,7 +237,7 @@
       );
       if (this.hasEnded) return undefined;
       if (admission === PrefillAdmission.NotResident) {
-        notHeld(replica.id, key!);
+        noteNotResident(replica.id, key!);
         return undefined;
       }
       if (admission === PrefillAdmission.Full) return undefined;
@@ -418,7 +418,7 @@
   onMisdirected(replica: ReplicaEntry): boolean {
     const key = this.adapterKey();
     if (key !== undefined) {
-      this.parts.notHeld(replica.id, key);
+      this.parts.noteNotResident(replica.id, key);
       this.finder.noteAdapterMissing(replica.id);
     }
     return this.onNotRun();
--- a/packages/routing/src/core/requests/types.ts
+++ b/packages/routing/src/core/requests/types.ts
@@ -106,7 +106,7 @@
    */
   upstreamHeaders(head: RequestHead, metadata: UpstreamMetadata): string[];
   /** Reads the head of a replica's response. */
-  readAnswer(status: number, headers: HeaderMap): ResponseMetadata;
+  readResponse(status: number, headers: HeaderMap): ResponseMetadata;
 }
 
 /** How one attempt ended. */
--- a/packages/routing/src/core/shares/fleet-share.ts
+++ b/packages/routing/src/core/shares/fleet-share.ts
@@ -20,7 +20,7 @@
 export interface FleetShareOptions {
   /** Address of this daemon. */
   readonly self: string;
-  readonly cluster: Pick<Cluster, 'alive' | 'possible' | 'member' | 'onMemberChange'>;
+  readonly cluster: Pick<Cluster, 'aliveAddresses' | 'aliveOrSilentCount' | 'member' | 'onMemberChange'>;
   /** Addresses of the daemons that the configuration names. */
   readonly seeds: () => readonly string[];
   /** Whether this daemon's view of the fleet was updated a moment ago. */
@@ -54,7 +54,7 @@
     const { cluster, timers, isFirstStart, windowMs } = options;
     this.startedAt = timers.now();
     this.memberMax = new SlidingMax(windowMs);
-    this.memberMax.add(cluster.possible(), timers.now());
+    this.memberMax.add(cluster.aliveOrSilentCount(), timers.now());
     this.previousUseUntil = isFirstStart ? Number.NEGATIVE_INFINITY : this.startedAt + windowMs;
     cluster.onMemberChange((_record, before) => this.recordMemberChange(before));
   }
@@ -69,7 +69,7 @@
     const now = timers.now();
     const isGrowing = now - this.lastJoinAt < windowMs;
     if (now < this.previousUseUntil || isGrowing || this.isIsolated() || !isUpToDate()) return 0;
-    return this.knownSeedShare() / this.memberMax.add(this.options.cluster.possible(), now);
+    return this.knownSeedShare() / this.memberMax.add(this.options.cluster.aliveOrSilentCount(), now);
   }
 
   /**
@@ -77,20 +77,20 @@
    * rule.
    * @returns From 0 to 1; the shares of the sides of a partition add up to 1 at most.
    */
-  side(): number {
+  partitionShare(): number {
     const { cluster, isUpToDate } = this.options;
-    const reachable = isUpToDate() ? cluster.alive().length : 1;
-    return this.one() * reachable;
+    const reachable = isUpToDate() ? cluster.aliveAddresses().length : 1;
+    return this.isolatedShare() * reachable;
   }
 
   /**
    * Returns the share of one daemon that can't reach the daemon that decides for all.
    * @returns From 0 to 1.
    */
-  one(): number {
+  isolatedShare(): number {
     const { cluster, timers } = this.options;
     const isDiscovering = timers.now() - this.startedAt < DISCOVERY_MS;
-    return (isDiscovering ? this.knownSeedShare() : 1) / Math.max(1, cluster.possible());
+    return (isDiscovering ? this.knownSeedShare() : 1) / Math.max(1, cluster.aliveOrSilentCount());
   }
 
   /** Returns the share of the seeds that this daemon has met; 1 where there are none besides itself. */
@@ -104,13 +104,13 @@
   /** Whether this daemon knows no other although seeds are configured. */
   private isIsolated(): boolean {
     const { self, seeds, cluster } = this.options;
-    return cluster.possible() <= 1 && seeds().some((seed) => seed !== self);
+    return cluster.aliveOrSilentCount() <= 1 && seeds().some((seed) => seed !== self);
   }
 
   private recordMemberChange(before: MemberRecord | undefined): void {
     const { cluster, timers } = this.options;
     const now = timers.now();
     if (before === undefined) this.lastJoinAt = now;
-    this.memberMax.add(cluster.possible(), now);
+    this.memberMax.add(cluster.aliveOrSilentCount(), now);
   }
 }
--- a/packages/routing/test/budget.test.ts
+++ b/packages/routing/test/budget.test.ts
@@ -26,8 +26,8 @@
   const share = new FleetShare({
     self: 'a:1',
     cluster: {
-      alive: () => Array.from({ length: daemons() }, (_, index) => `d${index}`),
-      possible: daemons,
+      aliveAddresses: () => Array.from({ length: daemons() }, (_, index) => `d${index}`),
+      aliveOrSilentCount: daemons,
       member: () => ({}) as MemberRecord,
       onMemberChange: () => undefined,
     },
--- a/packages/routing/test/engine-leases.test.ts
+++ b/packages/routing/test/engine-leases.test.ts
@@ -22,13 +22,13 @@
     for (const other of others) this.states.set(other, MemberState.Alive);
   }
 
-  alive = (): string[] =>
+  aliveAddresses = (): string[] =>
     [
       this.self,
       ...[...this.states].filter(([, state]) => state === MemberState.Alive).map(([name]) => name),
     ].sort();
 
-  possible = (): number =>
+  aliveOrSilentCount = (): number =>
     1 + [...this.states.values()].filter((s) => s === MemberState.Alive || s === MemberState.Silent).length;
 
   state = (name: string): MemberState =>
@@ -44,7 +44,7 @@
   const lost: string[] = [];
   const flags = { isRecovering: false, isUpToDate: true, isInformed: true };
   const settling = new FleetSettling({
-    alive: () => fleet.alive(),
+    alive: () => fleet.aliveAddresses(),
     hasSharedState: () => flags.isInformed,
     timers,
   });
@@ -183,9 +183,9 @@
   timers.advanceSync(SETTLED_MS);
   leases.claimUnowned(['x']);
   leases.merge({ replica: 'x', holder: 'b', token: gained[0]!.token - 1 });
-  t.is(leases.of('x')?.holder, 'a');
+  t.is(leases.leaseOf('x')?.holder, 'a');
   leases.merge({ replica: 'x', holder: 'b', token: gained[0]!.token + 1 });
-  t.is(leases.of('x')?.holder, 'b');
+  t.is(leases.leaseOf('x')?.holder, 'b');
   t.deepEqual(lost, ['x']);
 });
 
--- a/packages/routing/test/fleet/daemons.ts
+++ b/packages/routing/test/fleet/daemons.ts
@@ -124,8 +124,8 @@
 
 /** Whether a daemon has received recent state of the fleet. */
 export function isUpToDate({ cluster, tree }: TestDaemon): boolean {
-  const isHeard = cluster.alive().length <= 1 || cluster.sinceLastReceivedMs() < UP_TO_DATE_MS;
-  return isHeard && tree.ageMs < UP_TO_DATE_MS;
+  const isHeard = cluster.aliveAddresses().length <= 1 || cluster.sinceLastReceivedMs() < UP_TO_DATE_MS;
+  return isHeard && tree.rootBatchAgeMs < UP_TO_DATE_MS;
 }
 
 /** Creates a daemon's share in an allowance of the whole fleet. */
@@ -222,7 +222,7 @@
       .map(({ address }) => address)
       .sort()
       .join();
-    return among.every(({ cluster }) => cluster.alive().join() === expected);
+    return among.every(({ cluster }) => cluster.aliveAddresses().join() === expected);
   }
 
   /** Whether all of some daemons have a row in a version. */
--- a/packages/routing/test/fleet/fleet.test.ts
+++ b/packages/routing/test/fleet/fleet.test.ts
@@ -75,7 +75,7 @@
   fleet.daemon(11).publish('row', 1);
   await fleet.advanceUntil(() => fleet.haveRow('row', 1, others), 1000);
   t.true(fleet.haveRow('row', 1, others));
-  t.true(others.every(({ cluster }) => !cluster.alive().includes(root.address)));
+  t.true(others.every(({ cluster }) => !cluster.aliveAddresses().includes(root.address)));
   fleet.network.thaw(root.address);
   await fleet.advanceUntil(() => fleet.agrees() && fleet.haveRow('row', 1), AGREEMENT_MS);
   t.true(fleet.agrees());
@@ -125,10 +125,11 @@
     [lone.address],
     others.map(({ address }) => address),
   );
-  const isMinority = (): boolean => lone.cluster.alive().length * 2 < lone.cluster.possible();
+  const isMinority = (): boolean =>
+    lone.cluster.aliveAddresses().length * 2 < lone.cluster.aliveOrSilentCount();
   const waited = await fleet.advanceUntil(isMinority, 8000);
   t.true(waited <= 5000, `${waited} ms`);
-  t.true(lone.tree.ageMs > 1500 || lone.cluster.sinceLastReceivedMs() > 1500);
+  t.true(lone.tree.rootBatchAgeMs > 1500 || lone.cluster.sinceLastReceivedMs() > 1500);
 });
 
 test('the remaining daemons agree after half of the fleet has ended at once', async (t) => {
@@ -199,7 +200,7 @@
   for (const { address } of fleet.running()) fleet.network.loseNext(address, child.address, 8);
   ended.kill();
   await fleet.timers.advance(700);
-  const hasMissedChange = child.cluster.alive().includes(ended.address);
+  const hasMissedChange = child.cluster.aliveAddresses().includes(ended.address);
   await fleet.advanceUntil(() => fleet.agrees(), 7000);
   t.true(hasMissedChange, 'the daemon misses the change');
   t.true(fleet.agrees());
--- a/packages/routing/test/fleet/freshness.test.ts
+++ b/packages/routing/test/fleet/freshness.test.ts
@@ -60,8 +60,9 @@
       view,
       source: this.store.sourceOf(address),
       timers: timersOf(this.fleet.network, address),
-      rank: () => storeReaderRank(address, cluster.alive(), (member) => cluster.member(member)?.zone),
-      isAlone: () => cluster.alive().length <= 1,
+      rank: () =>
+        storeReaderRank(address, cluster.aliveAddresses(), (member) => cluster.member(member)?.zone),
+      isAlone: () => cluster.aliveAddresses().length <= 1,
       isFirstStart: true,
       random: () => this.random.between(0, 1),
       publish: (isNews) => tree.publishView(isNews),
--- a/packages/routing/test/in-flight.test.ts
+++ b/packages/routing/test/in-flight.test.ts
@@ -134,11 +134,11 @@
       send: (to, _type, body) => sent.push({ to, report: decodeInFlight(body as InFlightFrame) }),
     },
     leases: {
-      of: (replica) =>
+      leaseOf: (replica) =>
         owners.current === undefined ? undefined : { replica, holder: owners.current, token: 1 },
     },
     loader: {
-      use: (_replica, _key, uses) => used.push(uses),
+      recordUses: (_replica, _key, uses) => used.push(uses),
       setRunning: (_replica, count) => running.push(count().get(KEY) ?? 0),
     },
     inFlight,
--- a/packages/routing/test/limits/limits.test.ts
+++ b/packages/routing/test/limits/limits.test.ts
@@ -40,7 +40,7 @@
   await limited.sendAtMaxRate(PROPAGATION_MS);
   const from = fleet.timers.now();
   for (let round = 0; round < 3; round += 1) {
-    const coordinator = rendezvousOwner(REPLICA, fleet.daemon(11).cluster.alive())!;
+    const coordinator = rendezvousOwner(REPLICA, fleet.daemon(11).cluster.aliveAddresses())!;
     if (round === 1) fleet.network.freeze(coordinator);
     else fleet.daemons.get(coordinator)!.kill();
     await limited.sendAtMaxRate(5000);
--- a/packages/routing/test/pacing.test.ts
+++ b/packages/routing/test/pacing.test.ts
@@ -125,7 +125,7 @@
   return new PromptAdmission({
     self: 'a',
     cluster: { handle: () => undefined, request },
-    leases: { of: () => (holder === undefined ? undefined : { replica: 'e', holder, token: 1 }) },
+    leases: { leaseOf: () => (holder === undefined ? undefined : { replica: 'e', holder, token: 1 }) },
     registry: { onReplica: () => undefined, replica: () => entry },
     timers: createManualTimers(),
     log,
@@ -213,7 +213,7 @@
       },
       request: () => Promise.reject(new Error('unused')),
     },
-    leases: { of: () => ({ replica: 'e', holder: 'a', token: 1 }) },
+    leases: { leaseOf: () => ({ replica: 'e', holder: 'a', token: 1 }) },
     registry: { onReplica: () => undefined, replica: () => engineEntry('e') },
     timers: createManualTimers(),
     log,
--- a/packages/routing/test/quotas/fleet.ts
+++ b/packages/routing/test/quotas/fleet.ts
@@ -143,8 +143,8 @@
     const { address, cluster, tree } = daemon;
     const timers = timersOf(this.fleet.network, address);
     const settling = new FleetSettling({
-      alive: () => cluster.alive(),
-      hasSharedState: () => tree.isPlaced,
+      alive: () => cluster.aliveAddresses(),
+      hasSharedState: () => tree.hasSharedState,
       timers,
     });
     this.quotas.set(
--- a/packages/routing/test/repeats/execution-site.ts
+++ b/packages/routing/test/repeats/execution-site.ts
@@ -95,7 +95,7 @@
       },
       dialect: {
         upstreamHeaders: ({ id }: { id: string }) => [id],
-        readAnswer: (status: number) => ({
+        readResponse: (status: number) => ({
           isSigned: true,
           isNotRun: status === NOT_RUN,
           isMisdirected: false,
@@ -119,7 +119,7 @@
       fleetShare: () => 1,
       budget: () => budget,
       metrics: new RequestMetrics(createMetrics()),
-      notHeld: noop,
+      noteNotResident: noop,
       viewAgeMs: () => 0,
       callerTimes,
       timers,
--- a/packages/soak/src/core/callers/callers.ts
+++ b/packages/soak/src/core/callers/callers.ts
@@ -1,5 +1,5 @@
 /** Callers: they keep their connections, send requests at random moments, and come back once after a failure. */
-import { MODEL } from '@celeryyoke/adapter/testing';
+import { MODEL_NAME } from '@celeryyoke/adapter/testing';
 import type { TimerService } from '@celeryyoke/core';
 import type { Random } from '@celeryyoke/routing/testing';
 import { Agent, request } from 'undici';
@@ -131,7 +131,7 @@
     const { random, adapters } = this.options;
     const adapter = Math.floor(random.between(0, adapters));
     const generation = {
-      'celeryyoke-model': `${MODEL}/a${adapter}`,
+      'celeryyoke-model': `${MODEL_NAME}/a${adapter}`,
       'celeryyoke-token-count': '200,60',
     };
     return {
--- a/packages/soak/src/core/replicas/replica.ts
+++ b/packages/soak/src/core/replicas/replica.ts
@@ -3,13 +3,13 @@
 import { createServer } from 'node:net';
 
 import {
-  answerMisdirected,
-  answerNotRun,
-  answerOrder,
-  answerReport,
-  answerWhole,
+  respondMisdirected,
+  respondNotExecuted,
+  respondToOrder,
+  respondWithReport,
+  respondComplete,
   beginStream,
-  EngineLife,
+  EngineState,
   sendChunk,
 } from '@celeryyoke/adapter/testing';
 import { createSystemTimers } from '@celeryyoke/core';
@@ -74,7 +74,7 @@
 
   private running = 0;
 
-  private readonly life = new EngineLife();
+  private readonly life = new EngineState();
 
   private readonly connections = new Set<Connection>();
 
@@ -135,16 +135,16 @@
   private take(req: RawRequest): void {
     const [, path] = req.head.split(' ');
     if (path === '/v1/order') this.takeOrder(req);
-    else if (path === '/v1/report') answerReport(req, this.life);
+    else if (path === '/v1/report') respondWithReport(req, this.life);
     else if (headerValue(req.head, 'celeryyoke-expect-instance') !== this.options.id) {
       this.note(req, false);
-      answerMisdirected(req);
+      respondMisdirected(req);
     } else this.serve(req);
   }
 
   private takeOrder(req: RawRequest): void {
     if (this.held.has(Holdable.Orders)) this.heldOrders.push(req);
-    else if (!req.socket.destroyed) answerOrder(req, this.life);
+    else if (!req.socket.destroyed) respondToOrder(req, this.life);
   }
 
   private serve(req: RawRequest): void {
@@ -154,7 +154,7 @@
     const hasRun = !isFull && behaviour !== Behaviour.Shed;
     this.note(req, hasRun);
     if (hasRun) answer(behaviour, this, req);
-    else answerNotRun(req);
+    else respondNotExecuted(req);
   }
 
   /** Serves a request to its end. */
@@ -172,7 +172,7 @@
 
 async function answerLater(req: RawRequest): Promise<void> {
   await timers.sleep(PLAIN_MS);
-  answerWhole(req);
+  respondComplete(req);
 }
 
 async function stream(req: RawRequest): Promise<void> {
@@ -191,8 +191,8 @@
   [Behaviour.Serve]: (replica, req) => {
     void replica.run(req);
   },
-  [Behaviour.Shed]: (_replica, req) => answerNotRun(req),
-  [Behaviour.Errors]: (_replica, req) => answerWhole(req, ERROR),
+  [Behaviour.Shed]: (_replica, req) => respondNotExecuted(req),
+  [Behaviour.Errors]: (_replica, req) => respondComplete(req, ERROR),
   [Behaviour.Reset]: (_replica, { socket }) => socket.resetAndDestroy(),
   [Behaviour.Hang]: () => undefined,
 };
--- a/packages/soak/src/core/site/site.ts
+++ b/packages/soak/src/core/site/site.ts
@@ -1,5 +1,5 @@
 /** What the platform tells daemons of a run: the configuration, the replicas, and the settings of a process. */
-import { MODEL, StoreStandIn } from '@celeryyoke/adapter/testing';
+import { MODEL_NAME, StoreStandIn } from '@celeryyoke/adapter/testing';
 import type { RetryBounds } from '@celeryyoke/routing/testing';
 
 import type { ReplicaOptions } from '../replicas/index.js';
@@ -168,7 +168,7 @@
           weights_mb: 1000,
           adapter_slots: 100,
           loads_per_s: 27,
-          models: [{ name: MODEL, weights_mb: 90, adapter_mb: 1 }],
+          models: [{ name: MODEL_NAME, weights_mb: 90, adapter_mb: 1 }],
         },
       },
     ],
@@ -204,7 +204,7 @@
   { id, isEngine, slots }: ReplicaOptions,
   port: number,
 ): void {
-  const models = isEngine ? { models: [{ name: MODEL, version: 1, adapters: [] }] } : {};
+  const models = isEngine ? { models: [{ name: MODEL_NAME, version: 1, adapters: [] }] } : {};
   store.put(`servers/${id}`, {
     service: isEngine ? ENGINE_SERVICE : PLAIN_SERVICE,
     address: `${REPLICA_HOST}:${port}`,
