--- a/packages/fleet/src/core/engines/events.ts
+++ b/packages/fleet/src/core/engines/events.ts
@@ -1,4 +1,7 @@
-/** Applies the plan of events: every daemon computes the same plan, and each owner follows its part. */
+/**
+ * Computes the load plan for scheduled events. Every daemon computes the same plan from the configuration and
+ * the host list, and each engine owner applies the part for its engine.
+ */
 import type { AuditTrail, Log, TimerService } from '@celeryyoke/core';
 import { AuditKind } from '@celeryyoke/core';
 import type { ConfigHolder } from '@celeryyoke/configuration';
@@ -10,10 +13,9 @@
 import type { Membership } from '../membership/index.js';
 
 const EMPTY_PLAN: EventPlan = { loads: [], unplaced: [] };
-/** The plan depends on the time only through what is overdue, so it need not be made at each tick. */
-const PLAN_EVERY_MS = 5000;
+/** Time affects the plan only through overdue loads, so it is not recomputed at each tick. */
+const PLAN_INTERVAL_MS = 5000;
 
-/** Options of the schedule. */
 export interface EventScheduleOptions {
   readonly config: ConfigHolder;
   readonly membership: Membership;
@@ -23,18 +25,18 @@
   readonly log: Log;
 }
 
-/** What the plan of events asks of engines now. */
+/** The loads and reserved slots that scheduled events require at this moment. */
 export interface EventSchedule {
-  /** Makes the plan again if it is due or its inputs have changed. */
+  /** Recomputes the plan when its inputs have changed or the interval has passed. */
   refresh(): void;
-  /** Adapters whose slots are kept. */
+  /** Keys of adapters that must not be evicted now. */
   reserved(): ReadonlySet<AdapterKey>;
-  /** Loads that are due on an engine. */
+  /** Loads that are due now on an engine. */
   wants(engine: string): readonly LoadWant[];
 }
 
-/** Says what a plan is, so that a change of it is noticed. */
-function describe({ loads, unplaced }: EventPlan): string {
+/** Returns a text, one line per entry, that differs whenever the plan does. */
+function describePlan({ loads, unplaced }: EventPlan): string {
   const placed = loads.map(({ event, key, engine, loadAtMs }) => `${event} ${key} ${engine} ${loadAtMs}`);
   return [...placed, ...unplaced.map(({ event, key, reason }) => `${event} ${key} ${reason}`)].join('\n');
 }
@@ -42,9 +44,10 @@
 class PlannedSchedule implements EventSchedule {
   private plan = EMPTY_PLAN;
 
+  /** The plan as text, to detect changes. */
   private text = '';
 
-  private basis = '';
+  private planInputs = '';
 
   private plannedAt = -Infinity;
 
@@ -54,13 +57,13 @@
     const { config, timers } = this.options;
     const snapshot = config.current();
     if (snapshot === undefined) return;
-    const hosts = this.liveEngines();
-    const basis = `${snapshot.digest} ${hosts.join(' ')}`;
-    if (basis === this.basis && timers.now() < this.plannedAt + PLAN_EVERY_MS) return;
-    this.basis = basis;
+    const engines = this.liveEngines();
+    const inputs = `${snapshot.digest} ${engines.join(' ')}`;
+    if (inputs === this.planInputs && timers.now() < this.plannedAt + PLAN_INTERVAL_MS) return;
+    this.planInputs = inputs;
     this.plannedAt = timers.now();
     const hasEvents = snapshot.config.events.length > 0;
-    this.take(hasEvents ? planEvents(snapshot.config, hosts, timers.wall()) : EMPTY_PLAN);
+    this.setPlan(hasEvents ? planEvents(snapshot.config, engines, timers.wall()) : EMPTY_PLAN);
   }
 
   reserved(): ReadonlySet<AdapterKey> {
@@ -84,11 +87,11 @@
     return engines.map(({ name }) => name).sort();
   }
 
-  private take(plan: EventPlan): void {
+  private setPlan(plan: EventPlan): void {
     this.plan = plan;
-    const text = describe(plan);
+    const text = describePlan(plan);
     if (text === this.text) return;
-    const before = this.text === '' ? 0 : this.text.split('\n').length;
+    const entriesBefore = this.text === '' ? 0 : this.text.split('\n').length;
     this.text = text;
     const { audit, log } = this.options;
     const late = plan.loads.filter((load) => load.lateMs > 0).length;
@@ -98,17 +101,13 @@
       kind: AuditKind.EventPlanChanged,
       subject: 'events',
       cause,
-      before: { adapters: before },
+      before: { adapters: entriesBefore },
       after: { adapters: plan.loads.length + plan.unplaced.length },
     });
   }
 }
 
-/**
- * Makes the schedule, with nothing planned.
- * @param options - The plan's inputs.
- * @returns The schedule.
- */
+/** Creates the schedule; the plan is empty until the first `refresh`. */
 export function createEventSchedule(options: EventScheduleOptions): EventSchedule {
   return new PlannedSchedule(options);
 }
--- a/packages/fleet/src/core/engines/ledger.ts
+++ b/packages/fleet/src/core/engines/ledger.ts
@@ -1,6 +1,8 @@
 /**
- * The leases that an owner has given on one engine, and what it can't yet be certain of. While either is there
- * for a key, the slot table holds a lease on it, so that the slot is never chosen to make room.
+ * Ledger of the slot leases that an owner has granted on one engine, and of the keys on which requests may
+ * still run although no known lease covers them. Such a key stays protected until a report of the engine
+ * shows it idle. While either holds for a key, the ledger holds its slot in the slot table, which then never
+ * evicts it.
  */
 import type { SlotTable } from '@celeryyoke/placement';
 import { SlotState } from '@celeryyoke/placement';
@@ -8,82 +10,88 @@
 import type { EndedLease, HeldLease } from '../leases/index.js';
 import type { PeerIdentity } from '../peers/index.js';
 
-/** A lease that a daemon holds on a key. */
+/** A lease of a daemon on an adapter key. */
 export interface LedgerEntry {
   readonly holder: string;
   readonly incarnation: number;
   readonly key: string;
-  /** Highest request for a lease that was granted. */
+  /** Highest number among the holder's requests that were granted under this lease. */
   ask: number;
-  /** Monotonic milliseconds when it ends if it is not renewed. */
+  /** Monotonic milliseconds when it expires unless it is renewed. */
   expiresAt: number;
-  /** Requests that run under it, as its holder last told. */
+  /** Requests that run under it, as its holder last reported. */
   running: number;
 }
 
-/** Options of a ledger. */
 export interface LedgerOptions {
   readonly table: SlotTable;
   readonly leaseMs: number;
+  /** Bound on the time between a holder's check of its lease and the arrival of the request at the engine. */
   readonly sendBoundMs: number;
 }
 
 const NO_DEADLINE = { priority: 0, deadlineAt: Infinity };
 
-function entryId(holder: string, incarnation: number, key: string): string {
+function leaseId(holder: string, incarnation: number, key: string): string {
   return `lease ${holder}#${incarnation} ${key}`;
 }
 
-function doubtId(key: string): string {
+function idleReportId(key: string): string {
   return `doubt ${key}`;
 }
 
-/** Leases and doubts of one engine. */
+/** Leases on one engine, and the keys that must be shown idle by a report. */
 export class LeaseLedger {
   private readonly entries = new Map<string, LedgerEntry>();
 
-  /** For each key, the time after which a report must show that nothing runs on it. */
-  private readonly doubts = new Map<string, number>();
+  /**
+   * For each key that a report must show idle, the monotonic time which that report's content must be younger
+   * than.
+   */
+  private readonly idleReportAfter = new Map<string, number>();
 
-  /** For each key, when a lease on it ended last; an older report may still show its requests. */
-  private readonly endedAt = new Map<string, number>();
+  /** For each key, when a lease on it last ended; an older report may still show requests of that lease. */
+  private readonly lastEndedAt = new Map<string, number>();
 
-  /** Until when leases of an earlier owner may be out that this one does not know of. */
-  private unknownUntil = -Infinity;
+  /**
+   * Monotonic time until which requests may start under leases of an earlier owner that this one does not
+   * know.
+   */
+  private previousLeasesUntil = -Infinity;
 
   constructor(private readonly options: LedgerOptions) {}
 
-  /** Leases that are out, of one key or of all. */
-  out(key?: string): LedgerEntry[] {
+  /** Leases that have neither ended nor expired, of one key or of all. */
+  outstanding(key?: string): LedgerEntry[] {
     const all = [...this.entries.values()];
     return key === undefined ? all : all.filter((entry) => entry.key === key);
   }
 
-  /** Whether the slot of a key is certainly not in use. */
-  isClear(key: string): boolean {
-    return !this.doubts.has(key) && this.out(key).length === 0;
+  /** Whether it is certain that no request runs or can start on a key. */
+  isProvenIdle(key: string): boolean {
+    return !this.idleReportAfter.has(key) && this.outstanding(key).length === 0;
   }
 
-  /** Whether only a report is missing before a key is clear. */
-  isDoubted(key: string): boolean {
-    return this.doubts.has(key);
+  /** Whether a report must still show a key idle. */
+  needsIdleReport(key: string): boolean {
+    return this.idleReportAfter.has(key);
   }
 
-  /** Requests that run under all leases, as told. */
-  running(): number {
+  /** Number of requests that run under all leases, as their holders last reported. */
+  runningRequests(): number {
     let sum = 0;
     for (const entry of this.entries.values()) sum += entry.running;
     return sum;
   }
 
   /**
-   * Gives a daemon a lease on a key that is ready, or renews it.
+   * Grants a daemon a lease on a key whose adapter is ready, or renews it.
    * @param ask - Number of the holder's request.
-   * @param running - Requests that run under it.
+   * @param running - Number of requests that run under the lease.
    */
   grant(from: PeerIdentity, key: string, ask: number, running: number, now: number): void {
-    this.endOlder(from, now);
-    const id = entryId(from.name, from.incarnation, key);
+    this.endOlderIncarnations(from, now);
+    const id = leaseId(from.name, from.incarnation, key);
     const expiresAt = now + this.options.leaseMs;
     const entry = this.entries.get(id);
     if (entry === undefined) {
@@ -94,12 +102,12 @@
       entry.expiresAt = Math.max(entry.expiresAt, expiresAt);
       entry.running = running;
     }
-    this.mark(id, key, running > 0, now);
+    this.setSlotHold(id, key, running > 0, now);
   }
 
   /**
-   * Takes in what a holder tells of a lease.
-   * @returns Whether it holds on.
+   * Renews a lease as its holder reports it; one that the ledger does not know is added.
+   * @returns False when the adapter is not ready here, so that the lease no longer holds.
    */
   renew(from: PeerIdentity, held: HeldLease, now: number): boolean {
     if (this.options.table.state(held.key) !== SlotState.Ready) return false;
@@ -107,108 +115,113 @@
     return true;
   }
 
-  /** Ends a lease; one that was granted to a later request stays. */
+  /** Ends a lease, unless it was also granted to a request that is later than the message about its end. */
   end(from: PeerIdentity, ended: EndedLease, now: number): void {
-    const id = entryId(from.name, from.incarnation, ended.key);
+    const id = leaseId(from.name, from.incarnation, ended.key);
     const entry = this.entries.get(id);
     if (entry === undefined || entry.ask > ended.ask) return;
     this.remove(id, entry, now);
-    if (!ended.settled) this.doubt(ended.key, now + this.options.sendBoundMs, now);
+    if (!ended.settled) this.requireIdleReport(ended.key, now + this.options.sendBoundMs, now);
   }
 
-  /** Notes that a lease turned out to be in use, or can't be asked about. */
-  busy(entry: LedgerEntry, running: number, now: number): void {
-    const id = entryId(entry.holder, entry.incarnation, entry.key);
-    const kept = this.entries.get(id);
-    if (kept !== entry) return;
-    kept.running = running;
-    this.mark(id, entry.key, true, now);
+  /** Records that a lease is in use, or that its holder could not be reached. */
+  noteInUse(entry: LedgerEntry, running: number, now: number): void {
+    const id = leaseId(entry.holder, entry.incarnation, entry.key);
+    const current = this.entries.get(id);
+    if (current !== entry) return;
+    current.running = running;
+    this.setSlotHold(id, entry.key, true, now);
   }
 
-  /** Ends the leases whose time is over; what was started under them may still run. */
+  /** Ends the expired leases; requests that were started under them may still run. */
   expire(now: number): void {
     for (const [id, entry] of this.entries) {
       if (entry.expiresAt > now) continue;
       this.remove(id, entry, now);
-      this.doubt(entry.key, entry.expiresAt + this.options.sendBoundMs, now);
+      this.requireIdleReport(entry.key, entry.expiresAt + this.options.sendBoundMs, now);
     }
   }
 
-  /** Ends the leases of earlier incarnations of a daemon: what they sent may still run. */
-  endOlder(from: PeerIdentity, now: number): void {
+  /** Ends the leases of earlier incarnations of a daemon; requests that they sent may still run. */
+  endOlderIncarnations(from: PeerIdentity, now: number): void {
     for (const [id, entry] of this.entries) {
       if (entry.holder !== from.name || entry.incarnation >= from.incarnation) continue;
       this.remove(id, entry, now);
-      this.doubt(entry.key, now + this.options.sendBoundMs, now);
+      this.requireIdleReport(entry.key, now + this.options.sendBoundMs, now);
     }
   }
 
   /**
-   * Demands that a report of facts after a time shows a key empty before its slot is given up.
-   * @param until - Monotonic milliseconds after which nothing that is unknown can start.
+   * Protects a key until a report shows it idle at a later time than the given one.
+   * @param startsUntil - Monotonic milliseconds after which no unknown request can start on the key.
    */
-  doubt(key: string, until: number, now: number): void {
-    this.doubts.set(key, Math.max(until, this.doubts.get(key) ?? -Infinity));
-    this.mark(doubtId(key), key, true, now);
+  requireIdleReport(key: string, startsUntil: number, now: number): void {
+    this.idleReportAfter.set(key, Math.max(startsUntil, this.idleReportAfter.get(key) ?? -Infinity));
+    this.setSlotHold(idleReportId(key), key, true, now);
   }
 
   /**
-   * Takes in a report: ends the doubts that it settles and begins new ones.
-   * @param running - Requests that run on each key.
-   * @param factsAt - Monotonic time that the report's facts are not older than.
+   * Applies a report: releases the keys that it shows idle, and protects those that it shows running without
+   * a lease.
+   * @param running - Number of running requests for each key.
+   * @param observedAt - Monotonic milliseconds; the report shows the engine as it was at this time or later.
    */
-  reported(running: ReadonlyMap<string, number>, factsAt: number, now: number): void {
-    for (const [key, until] of this.doubts) {
-      if (factsAt <= until || (running.get(key) ?? 0) > 0) continue;
-      this.doubts.delete(key);
-      this.options.table.release(doubtId(key), now);
+  applyReport(running: ReadonlyMap<string, number>, observedAt: number, now: number): void {
+    for (const [key, startsUntil] of this.idleReportAfter) {
+      if (observedAt <= startsUntil || (running.get(key) ?? 0) > 0) continue;
+      this.idleReportAfter.delete(key);
+      this.options.table.release(idleReportId(key), now);
     }
     for (const [key, count] of running) {
-      const isForeign = this.out(key).length === 0 && factsAt > (this.endedAt.get(key) ?? -Infinity);
-      if (count > 0 && isForeign) this.doubt(key, factsAt, now);
+      const isUnaccounted =
+        this.outstanding(key).length === 0 && observedAt > (this.lastEndedAt.get(key) ?? -Infinity);
+      if (count > 0 && isUnaccounted) this.requireIdleReport(key, observedAt, now);
     }
   }
 
   /**
-   * Notes that leases of an earlier owner may be out.
-   * @param until - Monotonic milliseconds after which nothing can start under them.
+   * Records that leases of an earlier owner may still be valid.
+   * @param until - Monotonic milliseconds after which no request can start under them.
    */
-  expectUnknown(until: number): void {
-    this.unknownUntil = until;
+  expectPreviousLeases(until: number): void {
+    this.previousLeasesUntil = until;
   }
 
-  /** Puts the marks of leases and doubts on a slot that has become ready. */
-  restore(key: string, now: number): void {
-    for (const entry of this.out(key)) {
-      this.mark(entryId(entry.holder, entry.incarnation, key), key, entry.running > 0, now);
+  /**
+   * Holds the slot of an adapter that has become ready again, for its leases and for a report that must show
+   * it idle.
+   */
+  restoreHolds(key: string, now: number): void {
+    for (const entry of this.outstanding(key)) {
+      this.setSlotHold(leaseId(entry.holder, entry.incarnation, key), key, entry.running > 0, now);
     }
-    if (this.unknownUntil > now) this.doubt(key, this.unknownUntil, now);
-    else if (this.doubts.has(key)) this.mark(doubtId(key), key, true, now);
+    if (this.previousLeasesUntil > now) this.requireIdleReport(key, this.previousLeasesUntil, now);
+    else if (this.idleReportAfter.has(key)) this.setSlotHold(idleReportId(key), key, true, now);
   }
 
-  /** Forgets what it knows of a key that has left its slot. */
-  unloaded(key: string): void {
-    this.endedAt.delete(key);
+  /** Discards what is known about a key that was unloaded. */
+  forgetKey(key: string): void {
+    this.lastEndedAt.delete(key);
   }
 
-  /** Forgets doubts: the engine restarted, and what ran there has ended. */
-  restarted(now: number): void {
-    for (const key of this.doubts.keys()) this.options.table.release(doubtId(key), now);
-    this.doubts.clear();
-    this.endedAt.clear();
+  /** Drops the protection of keys without a lease: the engine restarted, so its requests have ended. */
+  handleEngineRestart(now: number): void {
+    for (const key of this.idleReportAfter.keys()) this.options.table.release(idleReportId(key), now);
+    this.idleReportAfter.clear();
+    this.lastEndedAt.clear();
     for (const entry of this.entries.values()) entry.running = 0;
   }
 
   private remove(id: string, entry: LedgerEntry, now: number): void {
     this.entries.delete(id);
-    this.endedAt.set(entry.key, now);
-    this.options.table.release(entryId(entry.holder, entry.incarnation, entry.key), now);
+    this.lastEndedAt.set(entry.key, now);
+    this.options.table.release(leaseId(entry.holder, entry.incarnation, entry.key), now);
   }
 
-  /** Holds a slot in the table, or lets it go. */
-  private mark(id: string, key: string, held: boolean, now: number): void {
+  /** Holds the slot of a key in the slot table under an id, or releases it. */
+  private setSlotHold(id: string, key: string, isHeld: boolean, now: number): void {
     const { table } = this.options;
-    if (!held) {
+    if (!isHeld) {
       table.release(id, now);
       return;
     }
--- a/packages/fleet/src/core/engines/orders.ts
+++ b/packages/fleet/src/core/engines/orders.ts
@@ -1,4 +1,4 @@
-/** Sends orders to an engine; authority is asked in the same synchronous step that sends the order. */
+/** Sends orders to an engine. Authority is checked in the same synchronous step that sends the order. */
 import type { AuditTrail, Log, TimerService } from '@celeryyoke/core';
 import { AuditKind } from '@celeryyoke/core';
 import type { EngineClient, OrderKind, OrderResult } from '@celeryyoke/platform';
@@ -7,33 +7,24 @@
 import type { Ownership } from '../ownership/index.js';
 import { Authority } from '../ownership/index.js';
 
-/** What each authority allows, as a rank. */
-const RANKS: Readonly<Record<Authority, number>> = {
+/** Authorities in ascending order of what they allow. */
+const AUTHORITY_RANKS: Readonly<Record<Authority, number>> = {
   [Authority.None]: 0,
   [Authority.Waiting]: 1,
   [Authority.Additive]: 2,
   [Authority.Full]: 3,
 };
 
-/**
- * Compares authorities.
- * @param held - What is held.
- * @param needed - What is needed.
- * @returns Whether what is held is enough.
- */
+/** Whether the authority that is held allows what needs another. */
 export function isEnough(held: Authority, needed: Authority): boolean {
-  return RANKS[held] >= RANKS[needed];
+  return AUTHORITY_RANKS[held] >= AUTHORITY_RANKS[needed];
 }
 
-/**
- * Names an engine as a resource that is owned.
- * @param engine - The engine.
- */
+/** Returns the name of the resource under which ownership of an engine is managed. */
 export function engineResource(engine: string): string {
   return `engine/${engine}`;
 }
 
-/** Options of the orders to one engine. */
 export interface OrdersOptions {
   readonly engine: string;
   readonly client: EngineClient;
@@ -43,57 +34,55 @@
   readonly log: Log;
 }
 
-/** An order that was sent. */
+/** An order that was sent; `sentAt` is in monotonic milliseconds. */
 export interface SentOrder {
   readonly sentAt: number;
   readonly result: Promise<OrderResult>;
 }
 
-/** Orders to one engine. */
+/** Sends the orders of this daemon to one engine and records them in the audit trail. */
 export class EngineOrders {
   constructor(private readonly options: OrdersOptions) {}
 
-  /** Whether orders that need an authority may be sent at this moment. */
-  may(needed: Authority): boolean {
+  /** Whether this daemon has the authority that an order needs at this moment. */
+  isAllowed(needed: Authority): boolean {
     const { engine, ownership } = this.options;
     return isEnough(ownership.authority(engineResource(engine)), needed);
   }
 
   /**
-   * Sends an order if authority allows it now.
-   * @param kind - What to do.
-   * @param subject - Key of the adapter.
-   * @param timeoutMs - Latest time for it to be carried out.
-   * @param needed - Authority that it needs.
-   * @returns The order, or undefined when it was not sent.
+   * Sends an order if this daemon has the authority for it.
+   * @param subject - Key of the adapter, or the role.
+   * @param timeoutMs - Time after which the engine no longer carries the order out.
+   * @returns The order, or undefined when it was not sent for lack of authority.
    */
   send(kind: OrderKind, subject: string, timeoutMs: number, needed: Authority): SentOrder | undefined {
     const { engine, client, ownership, timers } = this.options;
-    if (!this.may(needed)) return undefined;
+    if (!this.isAllowed(needed)) return undefined;
     const sentAt = timers.now();
     const fencing = ownership.fencing(engineResource(engine));
-    const ended = ownership.orderBegan(engineResource(engine));
+    const endTracking = ownership.orderBegan(engineResource(engine));
     const result = client.order({ kind, subject, fencing, timeoutMs });
     this.audit(AuditKind.OrderSent, kind, subject, { fencing });
-    return { sentAt, result: this.finish(kind, subject, result, ended, timeoutMs) };
+    return { sentAt, result: this.awaitResult(kind, subject, result, endTracking, timeoutMs) };
   }
 
-  private async finish(
+  private async awaitResult(
     kind: OrderKind,
     subject: string,
     result: Promise<OrderResult>,
-    ended: () => void,
+    endTracking: () => void,
     timeoutMs: number,
   ): Promise<OrderResult> {
     const { engine, log, timers } = this.options;
-    const end = await result;
-    // It may still be carried out until its time limit has passed.
-    if (end.outcome === OrderOutcome.Unknown) timers.after(timeoutMs, ended);
-    else ended();
-    this.audit(AuditKind.OrderResult, kind, subject, end);
-    if (end.reason !== undefined)
-      log.warn(`Order ${kind} ${subject} to ${engine}: ${end.outcome}, ${end.reason}.`);
-    return end;
+    const orderResult = await result;
+    // An order of unknown outcome may still be carried out until its timeout has passed.
+    if (orderResult.outcome === OrderOutcome.Unknown) timers.after(timeoutMs, endTracking);
+    else endTracking();
+    this.audit(AuditKind.OrderResult, kind, subject, orderResult);
+    if (orderResult.reason !== undefined)
+      log.warn(`Order ${kind} ${subject} to ${engine}: ${orderResult.outcome}, ${orderResult.reason}.`);
+    return orderResult;
   }
 
   private audit(change: AuditKind, kind: OrderKind, subject: string, after: unknown): void {
--- a/packages/fleet/src/core/engines/owner.ts
+++ b/packages/fleet/src/core/engines/owner.ts
@@ -1,6 +1,7 @@
 /**
- * The owner of one engine: gives leases on its slots, asks for leave to load, sends the orders, reads the
- * reports. Serving from what is loaded goes on without authority to change it; change needs authority.
+ * Owner of one engine: grants leases on its adapter slots, requests load permits, sends load and unload
+ * orders, and follows the engine's reports. Leases on resident adapters can be granted without the authority
+ * to unload; an order needs the authority that its kind requires.
  */
 import type { Task } from '@celeryyoke/core';
 import { runTask } from '@celeryyoke/core';
@@ -21,31 +22,34 @@
 import { Authority } from '../ownership/index.js';
 import type { PeerIdentity } from '../peers/index.js';
 import type { GrantedPermit } from '../permits/index.js';
+import { Capability, CapabilityCheck } from './capability.js';
 import { SlotDrain } from './drain.js';
 import type { EventSchedule } from './events.js';
+import { freeSlot } from './free-slot.js';
 import { LeaseLedger } from './ledger.js';
 import type { SentOrder } from './orders.js';
 import { EngineOrders, engineResource } from './orders.js';
-import type { TimedReport } from './reports.js';
-import { EngineReports } from './reports.js';
 import { recallLease } from './recall.js';
-import { makeRoom } from './room.js';
-import { OwnerStanding, Standing } from './standing.js';
+import type { TimedReport } from './report-poller.js';
+import { ReportPoller } from './report-poller.js';
 import type { EngineOwnersOptions, OwnedEngine } from './types.js';
-import type { Wait } from './waits.js';
-import { refusal, waitId, Waits } from './waits.js';
+import type { WaitingRequest } from './waiting-requests.js';
+import { refusal, waitingRequestId, WaitingRequests } from './waiting-requests.js';
 
-/** Parts of an owner. */
+/** Dependencies and settings of one owner. */
 export interface EngineOwnerOptions extends EngineOwnersOptions {
   readonly engine: EngineConfig;
   readonly times: LeaseTimes;
-  /** What the plan of events asks of the engine. */
+  /** Loads and reserved slots for scheduled events. */
   readonly events: EventSchedule;
-  /** Monotonic milliseconds before which orders of this process that it no longer waits for may arrive. */
+  /**
+   * Monotonic milliseconds until which orders of this engine's previous owner in this process may still
+   * arrive.
+   */
   readonly notBefore: number;
 }
 
-/** The owner of one engine. */
+/** Manages the slots, leases and orders of one engine while this daemon owns it. */
 export class EngineOwner {
   private readonly table: SlotTable;
 
@@ -53,34 +57,36 @@
 
   private readonly orders: EngineOrders;
 
-  private readonly authority: OwnerStanding;
+  private readonly capabilityCheck: CapabilityCheck;
 
-  private readonly reports: EngineReports;
+  private readonly reports: ReportPoller;
 
-  private readonly waits: Waits;
+  private readonly waitingRequests: WaitingRequests;
 
   private readonly drain: SlotDrain;
 
-  private readonly endServing: () => void;
+  private readonly unregisterFromPermits: () => void;
 
-  private load: Task<void> | undefined;
+  private permitTask: Task<void> | undefined;
 
-  private last: TimedReport | undefined;
+  private lastReport: TimedReport | undefined;
 
-  /** Whether a permit is in use; orders go one at a time. */
-  private isChanging = false;
+  /** Whether a permit is in use or an order is in flight; orders are sent one at a time. */
+  private isOrderActive = false;
 
-  /** When the last order had ended; older reports say nothing about what it did. */
-  private changedAt = -Infinity;
+  /** When the last permit was used up; reports of an earlier state do not show what its orders did. */
+  private lastOrderEndedAt = -Infinity;
 
+  /** Whether the slot table shows the resident adapters, as taken over from a report. */
   private isAdopted = false;
 
-  /** What this daemon may do, as it was noticed last, and since when. */
-  private standing = Standing.None;
+  /** What this daemon may do, as of the last tick, and since when it may do as much. */
+  private capability = Capability.None;
 
-  private since = Infinity;
+  private capableSince = Infinity;
 
-  private keys: ReadonlyMap<AdapterKey, SlotState> = new Map();
+  /** Slot states as published last; replaced only when they change. */
+  private publishedKeys: ReadonlyMap<AdapterKey, SlotState> = new Map();
 
   constructor(private readonly options: EngineOwnerOptions) {
     const { engine, policy, times, timers, permits, clients } = options;
@@ -92,98 +98,98 @@
       table: this.table,
       policy,
       afterMs: () => options.config.current()?.config.policy?.maxLoadWaitMs ?? Infinity,
-      recall: (key) => this.recallAll(key),
+      recall: (key) => this.drainLeases(key),
     });
     this.orders = new EngineOrders({ ...options, engine: name, client });
-    this.authority = new OwnerStanding({ ...options, engine: name, orders: this.orders });
-    this.waits = new Waits({
+    this.capabilityCheck = new CapabilityCheck({ ...options, engine: name, orders: this.orders });
+    this.waitingRequests = new WaitingRequests({
       timers,
       graceMs: times.callTimeoutMs,
-      forgotten: (id) => this.table.release(id, timers.now()),
+      onRemoved: (id) => this.table.release(id, timers.now()),
     });
-    this.reports = new EngineReports({
+    this.reports = new ReportPoller({
       ...options,
       ...times,
       engine: name,
       client,
-      take: (timed) => this.takeReport(timed),
-      healthChanged: () => this.healthChanged(),
+      onReport: (timed) => this.applyReport(timed),
+      onHealthChange: () => this.handleHealthChange(),
     });
-    this.endServing = permits.serve(name, store, {
+    this.unregisterFromPermits = permits.serve(name, store, {
       permit: (permit) => this.usePermit(permit),
-      redirect: (key, to) => this.redirect(key, to),
+      redirect: (key, to) => this.redirectWaiting(key, to),
     });
   }
 
-  /** Whether a changed configuration leaves an owner as it is. */
-  static isSame(left: EngineConfig, right: EngineConfig): boolean {
+  /** Whether two configurations of an engine are equal in all that its owner uses. */
+  static isUnchanged(left: EngineConfig, right: EngineConfig): boolean {
     const { address, model, store, slots, batch } = left;
     const isPlaced = address === right.address && model === right.model && store === right.store;
     return isPlaced && slots === right.slots && batch === right.batch;
   }
 
-  /** Asks for a lease; the answer comes when it is granted or there is something else to say. */
+  /** Serves a lease request; the response waits for a load, at most for the `waitMs` of the request. */
   async request(input: LeaseRequest, from: PeerIdentity): Promise<LeaseAnswer> {
     const { timers } = this.options;
     const now = timers.now();
-    const id = waitId(from, input.requestId);
-    if (this.waits.isCancelled(id)) return refusal(LeaseOutcome.Cancelled);
-    if (!this.has(Standing.Loading)) return refusal(LeaseOutcome.NotOwner);
+    const id = waitingRequestId(from, input.requestId);
+    if (this.waitingRequests.isCancelled(id)) return refusal(LeaseOutcome.Cancelled);
+    if (!this.can(Capability.Loading)) return refusal(LeaseOutcome.NotOwner);
     if (!this.isUsable() || this.drain.isDraining(input.key)) return refusal(LeaseOutcome.Unavailable);
     const { key, priority, deadlineMs } = input;
     const deadlineAt = deadlineMs === null ? Infinity : now + deadlineMs;
     const isReady = this.table.lease({ id, holder: from.name, key, priority, deadlineAt }, now);
     if (isReady) {
       this.table.release(id, now);
-      const may = this.has(Standing.Granting);
-      return may ? this.grant(from, key, input.ask, now) : refusal(LeaseOutcome.NotOwner);
+      const canGrant = this.can(Capability.Granting);
+      return canGrant ? this.grant(from, key, input.ask, now) : refusal(LeaseOutcome.NotOwner);
     }
-    const answer = this.waits.wait(id, from, input);
-    this.changed();
-    return answer;
+    const response = this.waitingRequests.waitForGrant(id, from, input);
+    this.publishState();
+    return response;
   }
 
-  /** Gives a request up. */
+  /** Cancels a waiting lease request. */
   cancel(requestId: string, from: PeerIdentity): void {
-    this.waits.cancel(waitId(from, requestId));
-    this.changed();
+    this.waitingRequests.cancel(waitingRequestId(from, requestId));
+    this.publishState();
   }
 
-  /** Takes in what a daemon holds. */
+  /** Renews and ends the leases of a daemon as it reports them. */
   renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalAnswer {
     const { engine, times, timers } = this.options;
-    const answer = { engine: engine.name, leaseMs: times.leaseMs };
-    if (!this.has(Standing.Granting)) return { ...answer, accepted: false, refused: [] };
+    const response = { engine: engine.name, leaseMs: times.leaseMs };
+    if (!this.can(Capability.Granting)) return { ...response, accepted: false, refused: [] };
     const now = timers.now();
-    this.ledger.endOlder(from, now);
+    this.ledger.endOlderIncarnations(from, now);
     for (const ended of renewal.ended) this.ledger.end(from, ended, now);
     const refused: string[] = [];
     for (const held of renewal.held) if (!this.ledger.renew(from, held, now)) refused.push(held.key);
-    this.changed();
-    if (!this.isLive()) return { ...answer, accepted: true, refused: renewal.held.map(({ key }) => key) };
-    return { ...answer, accepted: true, refused };
+    this.publishState();
+    if (!this.isLive()) return { ...response, accepted: true, refused: renewal.held.map(({ key }) => key) };
+    return { ...response, accepted: true, refused };
   }
 
-  /** Notices that authority, hosts or time have changed. */
+  /** Applies changes of authority, hosts and time; called at an interval and on each of these changes. */
   tick(): void {
     const now = this.options.timers.now();
-    const standing = this.authority.now();
-    if (standing > this.standing) {
-      // What others did until now has ended; only a younger report shows what they left.
+    const capability = this.capabilityCheck.current();
+    if (capability > this.capability) {
+      // Other daemons may have sent orders until now; only a younger report shows their result.
       this.isAdopted = false;
-      this.since = now;
+      this.capableSince = now;
     }
-    if (standing === Standing.None && this.standing !== Standing.None) this.loseAuthority();
-    this.standing = standing;
+    if (capability === Capability.None && this.capability !== Capability.None) this.loseAuthority();
+    this.capability = capability;
     this.ledger.expire(now);
     this.table.reserve(this.options.events.reserved());
     if (!this.isUsable()) this.refuseAll(LeaseOutcome.Unavailable);
-    if (this.has(Standing.Granting)) this.drain.look(this.table.wants(now), now);
-    this.changed();
+    if (this.can(Capability.Granting)) this.drain.update(this.table.wants(now), now);
+    this.publishState();
   }
 
-  /** What status shows. */
-  view(): OwnedEngine {
+  /** The engine's state for the status command. */
+  status(): OwnedEngine {
     const { running, waiting } = this.countLoad();
     return {
       engine: this.options.engine.name,
@@ -191,24 +197,24 @@
       adopted: this.isAdopted,
       healthy: this.reports.isHealthy(),
       slots: this.table.views(),
-      leases: this.ledger.out().length,
+      leases: this.ledger.outstanding().length,
       running,
       waiting,
     };
   }
 
-  /** Ends its tasks; requests that wait are told to ask the next owner. */
+  /** Stops the owner's tasks; waiting requests get `NotOwner` and go to the next owner. */
   async stop(): Promise<void> {
-    this.endServing();
+    this.unregisterFromPermits();
     this.options.site.forget(this.options.engine.name);
     this.refuseAll(LeaseOutcome.NotOwner);
-    await Promise.all([this.reports.stop(), this.load?.stop()]);
+    await Promise.all([this.reports.stop(), this.permitTask?.stop()]);
   }
 
-  /** Whether this daemon knows the engine and may act for it at this moment. */
-  private has(needed: Standing): boolean {
-    const isNoticed = this.isAdopted && this.standing >= needed;
-    return isNoticed && this.authority.now() >= needed;
+  /** Whether the resident adapters are known and this daemon has a capability, now and at the last tick. */
+  private can(needed: Capability): boolean {
+    const hadCapability = this.isAdopted && this.capability >= needed;
+    return hadCapability && this.capabilityCheck.current() >= needed;
   }
 
   private isLive(): boolean {
@@ -227,61 +233,69 @@
   }
 
   private loseAuthority(): void {
-    this.standing = Standing.None;
+    this.capability = Capability.None;
     this.isAdopted = false;
     this.refuseAll(LeaseOutcome.NotOwner);
   }
 
   private refuseAll(outcome: LeaseOutcome): void {
-    this.refuse(this.waits.takeAll(), outcome);
+    this.refuse(this.waitingRequests.removeAll(), outcome);
   }
 
-  private refuse(waits: readonly Wait[], outcome: LeaseOutcome, engine?: string): void {
+  private refuse(requests: readonly WaitingRequest[], outcome: LeaseOutcome, engine?: string): void {
     const now = this.options.timers.now();
-    for (const wait of waits) {
+    for (const wait of requests) {
       this.table.release(wait.id, now);
       wait.resolve?.(refusal(outcome, engine));
     }
   }
 
-  /** Asks the holders of a key to start nothing more under their leases, and to end those that are idle. */
-  private recallAll(key: AdapterKey): void {
+  /**
+   * Tells the holders of leases on a key to start no more requests under them, and to end those that are
+   * idle.
+   */
+  private drainLeases(key: AdapterKey): void {
     const { bus, engine, times, timers } = this.options;
     const recall = { bus, times, engine: engine.name, ledger: this.ledger, now: timers.now, drain: true };
-    for (const entry of this.ledger.out(key)) void recallLease(recall, entry);
+    for (const entry of this.ledger.outstanding(key)) void recallLease(recall, entry);
   }
 
-  private redirect(key: AdapterKey, to: string): void {
+  /** Sends the requests that wait for a key to another engine. */
+  private redirectWaiting(key: AdapterKey, to: string): void {
     this.table.redirect(key);
-    this.refuse(this.waits.takeAll(key), LeaseOutcome.Moved, to);
-    this.changed();
+    this.refuse(this.waitingRequests.removeAll(key), LeaseOutcome.Moved, to);
+    this.publishState();
   }
 
-  /** Gives the requests that waited for a key their lease. */
+  /** Grants leases to requests that waited for a load. */
   private grantAll(granted: readonly SlotRequest[]): void {
     const now = this.options.timers.now();
     for (const { id, key } of granted) {
-      const wait = this.waits.take(id);
-      const may = wait?.resolve !== undefined && this.has(Standing.Granting);
-      if (may) wait?.resolve?.(this.grant(wait.from, key, wait.ask, wait.receivedAt));
+      const wait = this.waitingRequests.remove(id);
+      const canGrant = wait?.resolve !== undefined && this.can(Capability.Granting);
+      if (canGrant) wait?.resolve?.(this.grant(wait.from, key, wait.ask, wait.receivedAt));
       else wait?.resolve?.(refusal(LeaseOutcome.NotOwner));
       this.table.release(id, now);
     }
   }
 
+  /**
+   * Starts to use a load permit.
+   * @returns False when the load is not possible or not wanted any more.
+   */
   private usePermit(permit: GrantedPermit): boolean {
-    const isWanted = this.has(Standing.Loading) && this.isUsable() && !this.isChanging;
+    const isWanted = this.can(Capability.Loading) && this.isUsable() && !this.isOrderActive;
     if (!isWanted || this.table.plan(permit.key, this.options.timers.now()) === undefined) return false;
-    this.isChanging = true;
-    this.load = runTask(() => this.useFor(permit));
+    this.isOrderActive = true;
+    this.permitTask = runTask(() => this.runPermit(permit));
     return true;
   }
 
-  private *useFor(permit: GrantedPermit): Generator<unknown, void> {
+  private *runPermit(permit: GrantedPermit): Generator<unknown, void> {
     const { bus, engine, times, timers, permits } = this.options;
     let outcome = PermitOutcome.Unused;
     try {
-      const room = {
+      const freeSlotOptions = {
         bus,
         times,
         engine: engine.name,
@@ -289,17 +303,18 @@
         ledger: this.ledger,
         orders: this.orders,
         now: timers.now,
-        settle: (key: string, order: SentOrder, limitMs: number) => this.settle(key, order, limitMs),
-        fenced: () => this.noteFenced(),
-        ready: (granted: readonly SlotRequest[]) => this.grantAll(granted),
+        awaitOutcome: (key: string, order: SentOrder, limitMs: number) =>
+          this.awaitOutcome(key, order, limitMs),
+        onFenced: () => this.noteFenced(),
+        grantAll: (granted: readonly SlotRequest[]) => this.grantAll(granted),
       };
-      if ((yield* makeRoom(room, permit.key)) && this.has(Standing.Loading))
+      if ((yield* freeSlot(freeSlotOptions, permit.key)) && this.can(Capability.Loading))
         outcome = yield* this.sendLoad(permit.key);
     } finally {
-      this.isChanging = false;
-      this.changedAt = timers.now();
+      this.isOrderActive = false;
+      this.lastOrderEndedAt = timers.now();
       permits.done(permit, outcome);
-      this.changed();
+      this.publishState();
     }
   }
 
@@ -309,88 +324,97 @@
     const order = this.orders.send(OrderKind.Load, key, times.loadTimeoutMs, Authority.Additive);
     if (order === undefined) return PermitOutcome.Unused;
     this.table.loadStarted(key, order.sentAt);
-    this.changed();
+    this.publishState();
     const { outcome } = (yield order.result) as OrderResult;
     let isLoaded = outcome === OrderOutcome.Done;
     if (outcome === OrderOutcome.Fenced) this.noteFenced();
     if (outcome === OrderOutcome.Unknown) {
-      isLoaded = (yield this.settle(key, order, times.loadTimeoutMs)) as boolean;
+      isLoaded = (yield this.awaitOutcome(key, order, times.loadTimeoutMs)) as boolean;
     }
-    this.endLoad(key, isLoaded);
+    this.finishLoad(key, isLoaded);
     return isLoaded ? PermitOutcome.Loaded : PermitOutcome.Failed;
   }
 
-  private endLoad(key: AdapterKey, isLoaded: boolean): void {
+  private finishLoad(key: AdapterKey, isLoaded: boolean): void {
     const now = this.options.timers.now();
     const granted = this.table.loadEnded(key, isLoaded, now);
-    if (isLoaded) this.ledger.restore(key, now);
+    if (isLoaded) this.ledger.restoreHolds(key, now);
     this.grantAll(granted);
   }
 
-  /** Waits until reports show whether a key is loaded, after an order whose outcome is unknown. */
-  private async settle(key: AdapterKey, order: SentOrder, limitMs: number): Promise<boolean> {
-    const incarnation = this.last?.report.incarnation;
+  /**
+   * Waits, after an order of unknown outcome, for a report from when the order can no longer be carried out.
+   * @returns Whether that report shows the key as resident; false when the engine has restarted.
+   */
+  private async awaitOutcome(key: AdapterKey, order: SentOrder, limitMs: number): Promise<boolean> {
+    const incarnation = this.lastReport?.report.incarnation;
     for (;;) {
-      await this.reports.next();
-      const { last } = this;
-      if (last === undefined || last.report.incarnation !== incarnation) return false;
-      if (last.factsAt <= order.sentAt + limitMs + this.options.times.sendBoundMs) continue;
-      const slot = last.report.slots.find((other) => other.key === key);
+      await this.reports.nextReport();
+      const { lastReport } = this;
+      if (lastReport === undefined || lastReport.report.incarnation !== incarnation) return false;
+      if (lastReport.observedAt <= order.sentAt + limitMs + this.options.times.sendBoundMs) continue;
+      const slot = lastReport.report.slots.find((other) => other.key === key);
       if (slot?.state !== 'loading') return slot !== undefined;
     }
   }
 
   private noteFenced(): void {
-    this.authority.noteFenced();
-    this.options.log.warn(`Engine ${this.options.engine.name} refused an order with an old fencing number.`);
+    this.capabilityCheck.noteFenced();
+    this.options.log.warn(
+      `Engine ${this.options.engine.name} refused an outdated fencing token; waiting for a fresh host list.`,
+    );
     this.loseAuthority();
   }
 
-  private takeReport(timed: TimedReport): void {
+  private applyReport(timed: TimedReport): void {
     const { engine, ownership, timers } = this.options;
     const now = timers.now();
     const { report } = timed;
     ownership.observeFencing(engineResource(engine.name), report.fencing);
-    this.claim(report.role);
-    const before = this.last?.report.incarnation;
-    this.last = timed;
-    if (before !== undefined && before !== report.incarnation) this.engineRestarted(now);
+    this.presentFencingToken(report.role);
+    const incarnationBefore = this.lastReport?.report.incarnation;
+    this.lastReport = timed;
+    if (incarnationBefore !== undefined && incarnationBefore !== report.incarnation)
+      this.handleEngineRestart(now);
     this.tick();
-    if (!this.isAdopted) this.adopt(timed, now);
+    if (!this.isAdopted) this.adoptLoaded(timed, now);
     else this.reconcile(timed, now);
     const running = new Map(report.slots.map((slot) => [slot.key, slot.running]));
-    this.ledger.reported(running, timed.factsAt, now);
-    this.changed();
+    this.ledger.applyReport(running, timed.observedAt, now);
+    this.publishState();
   }
 
-  /** Shows the engine this owner's fencing number with an order that changes nothing. */
-  private claim(role: string): void {
+  /** Presents this owner's fencing token to the engine with an order that sets the role it already has. */
+  private presentFencingToken(role: string): void {
     const { engine, ownership, times } = this.options;
-    if (this.isChanging || !ownership.needsClaim(engineResource(engine.name))) return;
+    if (this.isOrderActive || !ownership.needsClaim(engineResource(engine.name))) return;
     const order = this.orders.send(OrderKind.Role, role, times.unloadTimeoutMs, Authority.Additive);
     if (order === undefined) return;
-    this.isChanging = true;
+    this.isOrderActive = true;
     void order.result.then(({ outcome }) => {
-      this.isChanging = false;
+      this.isOrderActive = false;
       if (outcome === OrderOutcome.Fenced) this.noteFenced();
-      this.changed();
+      this.publishState();
     });
   }
 
-  /** Takes over what the engine has loaded, once a report shows it as it was after authority began. */
-  private adopt(timed: TimedReport, now: number): void {
-    if (this.standing === Standing.None || this.isChanging) return;
-    if (timed.factsAt <= Math.max(this.since, this.changedAt)) return;
+  /**
+   * Takes over the resident adapters, once a report shows the engine as it was after this daemon's capability
+   * began.
+   */
+  private adoptLoaded(timed: TimedReport, now: number): void {
+    if (this.capability === Capability.None || this.isOrderActive) return;
+    if (timed.observedAt <= Math.max(this.capableSince, this.lastOrderEndedAt)) return;
     const { leaseMs, sendBoundMs } = this.options.times;
     this.table.restarted(now);
-    this.ledger.expectUnknown(this.since + leaseMs + sendBoundMs);
-    this.follow(timed, now);
+    this.ledger.expectPreviousLeases(this.capableSince + leaseMs + sendBoundMs);
+    this.addReportedSlots(timed, now);
     this.isAdopted = true;
   }
 
-  /** Compares the table with a report that is younger than the last order, and follows the engine. */
+  /** Corrects the slot table by a report that is younger than the last order. */
   private reconcile(timed: TimedReport, now: number): void {
-    if (this.isChanging || timed.factsAt <= this.changedAt) return;
+    if (this.isOrderActive || timed.observedAt <= this.lastOrderEndedAt) return;
     const reported = new Set(timed.report.slots.map((slot) => slot.key));
     const views = this.table.views();
     if (views.some((slot) => !reported.has(slot.key))) {
@@ -399,53 +423,53 @@
         views.filter((slot) => reported.has(slot.key)).map((slot) => slot.key),
         now,
       );
-      for (const slot of views) this.ledger.restore(slot.key, now);
+      for (const slot of views) this.ledger.restoreHolds(slot.key, now);
     }
-    this.follow(timed, now);
+    this.addReportedSlots(timed, now);
   }
 
-  /** Enters what a report shows and the table does not have, such as what an earlier owner ordered. */
-  private follow(timed: TimedReport, now: number): void {
+  /** Adds slots to the table that only a report shows, such as a load that an earlier owner ordered. */
+  private addReportedSlots(timed: TimedReport, now: number): void {
     for (const { key, state } of timed.report.slots) {
-      const hasRoom = this.table.views().length < this.options.engine.slots;
-      if (this.table.state(key) === undefined && hasRoom) this.table.loadStarted(key, now);
-      if (state === 'ready' && this.table.state(key) === SlotState.Loading) this.endLoad(key, true);
+      const hasFreeSlot = this.table.views().length < this.options.engine.slots;
+      if (this.table.state(key) === undefined && hasFreeSlot) this.table.loadStarted(key, now);
+      if (state === 'ready' && this.table.state(key) === SlotState.Loading) this.finishLoad(key, true);
     }
   }
 
-  private engineRestarted(now: number): void {
-    this.options.log.warn(`Engine ${this.options.engine.name} restarted.`);
-    this.ledger.restarted(now);
+  private handleEngineRestart(now: number): void {
+    this.options.log.warn(`Engine ${this.options.engine.name} restarted; treating its slots as empty.`);
+    this.ledger.handleEngineRestart(now);
     this.table.restarted(now);
   }
 
-  private healthChanged(): void {
+  private handleHealthChange(): void {
     if (!this.isUsable()) this.refuseAll(LeaseOutcome.Unavailable);
-    this.changed();
+    this.publishState();
   }
 
   private countLoad(): { readonly running: number; readonly waiting: number } {
-    const reported = this.last?.report.running ?? 0;
-    return { running: Math.max(reported, this.ledger.running()), waiting: this.table.load().waiting };
+    const reported = this.lastReport?.report.running ?? 0;
+    return { running: Math.max(reported, this.ledger.runningRequests()), waiting: this.table.load().waiting };
   }
 
-  /** Tells the store's owner and the site what has changed. */
-  private changed(): void {
-    if (!this.reports.isKnown()) return;
+  /** Publishes the engine's state, and offers its wanted loads to the owner of its weight store. */
+  private publishState(): void {
+    if (!this.reports.isHealthKnown()) return;
     const { engine, permits, site, timers } = this.options;
     const { running, waiting } = this.countLoad();
-    if (this.has(Standing.Loading)) {
+    if (this.can(Capability.Loading)) {
       const now = timers.now();
-      const room = this.isChanging || !this.isUsable() ? undefined : this.room(now, running);
-      permits.offer(engine.store, { engine: engine.name, wants: this.wants(now), room });
+      const room = this.isOrderActive || !this.isUsable() ? undefined : this.room(now, running);
+      permits.offer(engine.store, { engine: engine.name, wants: this.wantedLoads(now), room });
     }
-    this.refreshKeys();
-    const state = { healthy: this.isUsable(), granting: this.has(Standing.Granting), warmth: 1 };
-    site.tell({ engine: engine.name, running, waiting, keys: this.keys, ...state });
+    this.updatePublishedKeys();
+    const state = { healthy: this.isUsable(), granting: this.can(Capability.Granting), warmth: 1 };
+    site.tell({ engine: engine.name, running, waiting, keys: this.publishedKeys, ...state });
   }
 
-  /** Loads that requests wait for, and those that events ask for. */
-  private wants(now: number): readonly LoadWant[] {
+  /** Loads that requests wait for, and those that scheduled events require. */
+  private wantedLoads(now: number): readonly LoadWant[] {
     const waited = this.table.wants(now);
     const keys = new Set(waited.map((want) => want.key));
     const planned = this.options.events.wants(this.options.engine.name);
@@ -454,14 +478,15 @@
 
   private room(now: number, running: number): RoomView {
     const room = this.table.room(now);
-    return { ...room, running, victims: this.orders.may(Authority.Full) ? room.victims : [] };
+    return { ...room, running, victims: this.orders.isAllowed(Authority.Full) ? room.victims : [] };
   }
 
-  /** Makes a new map of the slots only when they have changed, so that it is told only then. */
-  private refreshKeys(): void {
+  /** Replaces the map of slot states only when one has changed: observers compare the map by identity. */
+  private updatePublishedKeys(): void {
     const views = this.table.views().filter((slot) => slot.state !== SlotState.Unloading);
     const isSame =
-      views.length === this.keys.size && views.every((slot) => this.keys.get(slot.key) === slot.state);
-    if (!isSame) this.keys = new Map(views.map((slot) => [slot.key, slot.state]));
+      views.length === this.publishedKeys.size &&
+      views.every((slot) => this.publishedKeys.get(slot.key) === slot.state);
+    if (!isSame) this.publishedKeys = new Map(views.map((slot) => [slot.key, slot.state]));
   }
 }
--- a/packages/fleet/src/core/engines/owners.ts
+++ b/packages/fleet/src/core/engines/owners.ts
@@ -1,4 +1,7 @@
-/** The owners of all engines that this daemon owns, and the procedures that they serve. */
+/**
+ * Creates and stops the owners of this daemon's engines as ownership changes, and serves the lease
+ * procedures.
+ */
 import type { TimerHandle } from '@celeryyoke/core';
 import type { EngineConfig } from '@celeryyoke/configuration';
 
@@ -16,9 +19,9 @@
 import { createEventSchedule } from './events.js';
 import { EngineOwner } from './owner.js';
 import type { EngineOwners, EngineOwnersOptions, OwnedEngine } from './types.js';
-import { refusal } from './waits.js';
+import { refusal } from './waiting-requests.js';
 
-class OwnerSet implements EngineOwners {
+class LocalEngineOwners implements EngineOwners {
   private readonly owners = new Map<string, { readonly engine: EngineConfig; readonly owner: EngineOwner }>();
 
   private readonly times: LeaseTimes;
@@ -61,13 +64,13 @@
 
   async stop(): Promise<void> {
     this.ticker?.cancel();
-    for (const end of this.unsubscribe) end();
+    for (const unsubscribe of this.unsubscribe) unsubscribe();
     for (const name of [...this.owners.keys()]) this.drop(name);
     await Promise.all(this.stopping);
   }
 
   owned(): readonly OwnedEngine[] {
-    return [...this.owners.values()].map(({ owner }) => owner.view());
+    return [...this.owners.values()].map(({ owner }) => owner.status());
   }
 
   private renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalAnswer {
@@ -76,25 +79,29 @@
     return owner.renew(renewal, from);
   }
 
-  /** Begins and ends owners as the configuration and the host list say. */
+  /**
+   * Starts and stops owners so that there is one for each engine that this daemon owns, and ticks those that
+   * stay.
+   */
   private refresh(): void {
     const { bus, config, ownership } = this.options;
     this.events.refresh();
     const engines = config.current()?.config.engines ?? [];
-    const mine = engines.filter(({ name }) => ownership.ownerOf(engineResource(name)) === bus.self.name);
-    const names = new Set(mine.map(({ name }) => name));
+    const owned = engines.filter(({ name }) => ownership.ownerOf(engineResource(name)) === bus.self.name);
+    const names = new Set(owned.map(({ name }) => name));
     for (const name of [...this.owners.keys()]) if (!names.has(name)) this.drop(name);
-    for (const engine of mine) this.keep(engine);
+    for (const engine of owned) this.ensureOwner(engine);
   }
 
-  private keep(engine: EngineConfig): void {
-    const kept = this.owners.get(engine.name);
-    if (kept !== undefined && EngineOwner.isSame(kept.engine, engine)) {
-      kept.owner.tick();
+  private ensureOwner(engine: EngineConfig): void {
+    const existing = this.owners.get(engine.name);
+    if (existing !== undefined && EngineOwner.isUnchanged(existing.engine, engine)) {
+      existing.owner.tick();
       return;
     }
+    // Orders of a replaced owner may still arrive at the engine until their timeout has passed.
     let notBefore = -Infinity;
-    if (kept !== undefined) {
+    if (existing !== undefined) {
       this.drop(engine.name);
       const { loadTimeoutMs, unloadTimeoutMs, sendBoundMs } = this.times;
       notBefore = this.options.timers.now() + Math.max(loadTimeoutMs, unloadTimeoutMs) + sendBoundMs;
@@ -110,21 +117,17 @@
   }
 
   private drop(name: string): void {
-    const kept = this.owners.get(name);
+    const removed = this.owners.get(name);
     this.owners.delete(name);
-    if (kept === undefined) return;
-    const stopped: Promise<void> = kept.owner.stop().finally(() => {
+    if (removed === undefined) return;
+    const stopped: Promise<void> = removed.owner.stop().finally(() => {
       this.stopping = this.stopping.filter((other) => other !== stopped);
     });
     this.stopping.push(stopped);
   }
 }
 
-/**
- * Makes the owners of this daemon's engines.
- * @param options - The parts that they need.
- * @returns The owners, not yet started.
- */
+/** Creates the owners of this daemon's engines; they do nothing before `start`. */
 export function createEngineOwners(options: EngineOwnersOptions): EngineOwners {
-  return new OwnerSet(options);
+  return new LocalEngineOwners(options);
 }
--- a/packages/fleet/src/core/engines/types.ts
+++ b/packages/fleet/src/core/engines/types.ts
@@ -1,4 +1,7 @@
-/** Owners of engines: they keep the slots, give leases on them and send the orders. */
+/**
+ * Types of the engine owners, which manage an engine's adapter slots, grant leases on them and send it
+ * orders.
+ */
 import type { AuditTrail, Log, Metrics, TimerService } from '@celeryyoke/core';
 import type { ConfigHolder, EngineConfig } from '@celeryyoke/configuration';
 import type { PlacementPolicy, SlotView } from '@celeryyoke/placement';
@@ -10,7 +13,7 @@
 import type { PeerBus } from '../peers/index.js';
 import type { PermitDesk } from '../permits/index.js';
 
-/** Options of the owners. */
+/** Dependencies and settings of the engine owners. */
 export interface EngineOwnersOptions {
   readonly bus: PeerBus;
   readonly timers: TimerService;
@@ -21,35 +24,35 @@
   readonly membership: Membership;
   readonly ownership: Ownership;
   readonly policy: PlacementPolicy;
-  /** Asks for leave to load. */
+  /** Requests load permits from the owner of the engine's weight store. */
   readonly permits: PermitDesk;
-  /** Where owners tell of their engines. */
+  /** Where owners publish the state of their engines. */
   readonly site: SiteBook;
-  /** Finds the client of an engine; owners do not close it. */
+  /** Returns the client of an engine; the caller of `createEngineOwners` closes it. */
   readonly clients: (engine: EngineConfig) => EngineClient;
   readonly times?: Partial<LeaseTimes> | undefined;
 }
 
-/** An engine that this daemon owns, for status. */
+/** State of an engine that this daemon owns, for the status command. */
 export interface OwnedEngine {
   readonly engine: string;
   readonly authority: Authority;
-  /** Whether its owner knows what is loaded. */
+  /** Whether the owner has taken the resident adapters over from a report of the engine. */
   readonly adopted: boolean;
   readonly healthy: boolean;
   readonly slots: readonly SlotView[];
-  /** Leases that are out. */
+  /** Outstanding slot leases. */
   readonly leases: number;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** The engines that this daemon owns. */
+/** Runs one owner for each engine that this daemon owns. */
 export interface EngineOwners {
-  /** Begins to serve and to order. */
+  /** Registers the lease procedures on the bus and creates the owners. */
   start(): void;
-  /** Ends all tasks; requests that wait are refused. */
+  /** Stops all owners; waiting lease requests are refused. */
   stop(): Promise<void>;
-  /** The engines that this daemon owns now. */
+  /** State of the engines that this daemon owns at this moment. */
   owned(): readonly OwnedEngine[];
 }
