--- a/packages/fleet/src/core/engines/owner.ts
+++ b/packages/fleet/src/core/engines/owner.ts
@@ -13,8 +13,8 @@
 
 import type {
   EngineRenewal,
-  EngineRenewalAnswer,
-  LeaseAnswer,
+  EngineRenewalResponse,
+  LeaseResponse,
   LeaseRequest,
   LeaseTimes,
 } from '../leases/index.js';
@@ -129,7 +129,7 @@
   }
 
   /** Serves a lease request; the response waits for a load, at most for the `waitMs` of the request. */
-  async request(input: LeaseRequest, from: PeerIdentity): Promise<LeaseAnswer> {
+  async request(input: LeaseRequest, from: PeerIdentity): Promise<LeaseResponse> {
     const { timers } = this.options;
     const now = timers.now();
     const id = waitingRequestId(from, input.requestId);
@@ -156,7 +156,7 @@
   }
 
   /** Renews and ends the leases of a daemon as it reports them. */
-  renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalAnswer {
+  renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalResponse {
     const { engine, times, timers } = this.options;
     const response = { engine: engine.name, leaseMs: times.leaseMs };
     if (!this.can(Capability.Granting)) return { ...response, accepted: false, refused: [] };
@@ -206,7 +206,7 @@
   /** Stops the owner's tasks; waiting requests get `NotOwner` and go to the next owner. */
   async stop(): Promise<void> {
     this.unregisterFromPermits();
-    this.options.site.forget(this.options.engine.name);
+    this.options.site.withdraw(this.options.engine.name);
     this.refuseAll(LeaseOutcome.NotOwner);
     await Promise.all([this.reports.stop(), this.permitTask?.stop()]);
   }
@@ -225,7 +225,7 @@
     return this.isLive() && this.reports.isHealthy();
   }
 
-  private grant(from: PeerIdentity, key: AdapterKey, ask: number, receivedAt: number): LeaseAnswer {
+  private grant(from: PeerIdentity, key: AdapterKey, ask: number, receivedAt: number): LeaseResponse {
     const { times, timers } = this.options;
     const now = timers.now();
     this.ledger.grant(from, key, ask, 1, now);
@@ -465,7 +465,7 @@
     }
     this.updatePublishedKeys();
     const state = { healthy: this.isUsable(), granting: this.can(Capability.Granting), warmth: 1 };
-    site.tell({ engine: engine.name, running, waiting, keys: this.publishedKeys, ...state });
+    site.publish({ engine: engine.name, running, waiting, keys: this.publishedKeys, ...state });
   }
 
   /** Loads that requests wait for, and those that scheduled events require. */
--- a/packages/fleet/src/core/engines/owners.ts
+++ b/packages/fleet/src/core/engines/owners.ts
@@ -5,7 +5,7 @@
 import type { TimerHandle } from '@celeryyoke/core';
 import type { EngineConfig } from '@celeryyoke/configuration';
 
-import type { EngineRenewal, EngineRenewalAnswer, LeaseTimes } from '../leases/index.js';
+import type { EngineRenewal, EngineRenewalResponse, LeaseTimes } from '../leases/index.js';
 import {
   DEFAULT_LEASE_TIMES,
   LEASE_CANCEL,
@@ -73,7 +73,7 @@
     return [...this.owners.values()].map(({ owner }) => owner.status());
   }
 
-  private renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalAnswer {
+  private renew(renewal: EngineRenewal, from: PeerIdentity): EngineRenewalResponse {
     const owner = this.owners.get(renewal.engine)?.owner;
     if (owner === undefined) return { engine: renewal.engine, accepted: false, leaseMs: 0, refused: [] };
     return owner.renew(renewal, from);
--- a/packages/fleet/src/core/engines/recall.ts
+++ b/packages/fleet/src/core/engines/recall.ts
@@ -1,5 +1,5 @@
 /** Recalls slot leases: asks their holders to end them if no request runs under them. */
-import type { LeaseRecallAnswer, LeaseTimes } from '../leases/index.js';
+import type { LeaseRecallResponse, LeaseTimes } from '../leases/index.js';
 import { LEASE_RECALL } from '../leases/index.js';
 import type { PeerBus } from '../peers/index.js';
 import type { LeaseLedger, LedgerEntry } from './ledger.js';
@@ -19,7 +19,7 @@
   const { bus, engine, ledger, times, now, drain } = options;
   const { key, incarnation, holder } = entry;
   const input = { engine, key, incarnation, drain };
-  let response: LeaseRecallAnswer;
+  let response: LeaseRecallResponse;
   try {
     response = await bus.call(holder, LEASE_RECALL, input, { timeoutMs: times.callTimeoutMs });
   } catch {
--- a/packages/fleet/src/core/engines/waiting-requests.ts
+++ b/packages/fleet/src/core/engines/waiting-requests.ts
@@ -1,7 +1,7 @@
 /** Lease requests that wait at an engine's owner for an adapter to be loaded. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
-import type { LeaseAnswer, LeaseRequest } from '../leases/index.js';
+import type { LeaseResponse, LeaseRequest } from '../leases/index.js';
 import { LeaseOutcome } from '../leases/index.js';
 import type { PeerIdentity } from '../peers/index.js';
 
@@ -21,7 +21,7 @@
   /** Monotonic milliseconds when the latest message arrived. */
   receivedAt: number;
   /** Responds to the latest message; undefined when it has been responded to. */
-  resolve: ((answer: LeaseAnswer) => void) | undefined;
+  resolve: ((answer: LeaseResponse) => void) | undefined;
   /** Ends the wait for a grant, or after a response the wait for the next message. */
   timer: TimerHandle | undefined;
 }
@@ -30,7 +30,7 @@
  * Creates a response that grants no lease.
  * @param engine - Engine to ask instead.
  */
-export function refusal(outcome: LeaseOutcome, engine?: string): LeaseAnswer {
+export function refusal(outcome: LeaseOutcome, engine?: string): LeaseResponse {
   return { outcome, leaseMs: 0, waitedMs: 0, engine };
 }
 
@@ -64,7 +64,7 @@
   }
 
   /** Waits for the response to a message; a request that already waits keeps its entry. */
-  waitForGrant(id: string, from: PeerIdentity, input: LeaseRequest): Promise<LeaseAnswer> {
+  waitForGrant(id: string, from: PeerIdentity, input: LeaseRequest): Promise<LeaseResponse> {
     const { timers } = this.options;
     const wait = this.byId.get(id) ?? this.add(id, from, input);
     wait.resolve?.(refusal(LeaseOutcome.Waiting));
--- a/packages/fleet/src/core/leases/dispatcher.ts
+++ b/packages/fleet/src/core/leases/dispatcher.ts
@@ -1,4 +1,7 @@
-/** Finds an engine for a request: by the site view, then with a lease that is held or one from the owner. */
+/**
+ * Dispatches requests to engines: chooses an engine by the site state, then uses a lease that this daemon
+ * already holds or requests one from the engine's owner.
+ */
 import type { Counter, Histogram, Log, Metrics, TimerService } from '@celeryyoke/core';
 import { CeleryyokeError } from '@celeryyoke/core';
 import type { ConfigHolder } from '@celeryyoke/configuration';
@@ -8,18 +11,18 @@
 import type { Membership } from '../membership/index.js';
 import type { Ownership } from '../ownership/index.js';
 import type { PeerBus } from '../peers/index.js';
-import type { Hold } from './holds.js';
-import { HoldBook } from './holds.js';
-import type { LeaseAnswer } from './messages.js';
+import type { LocalLease } from './local-leases.js';
+import { LocalLeases } from './local-leases.js';
+import type { LeaseResponse } from './messages.js';
 import { LEASE_CANCEL, LEASE_REQUEST, LeaseOutcome } from './messages.js';
 import { PopularityExchange } from './popularity.js';
-import { Renewals } from './renewals.js';
-import { Search } from './search.js';
+import { LeaseRenewer } from './lease-renewer.js';
+import { EngineSearch } from './search.js';
 import type { SiteBook } from './site.js';
 import type { Dispatcher, DispatchGrant, DispatchWant, LeaseTimes } from './types.js';
 import { DEFAULT_LEASE_TIMES } from './types.js';
 
-/** Options of the dispatcher. */
+/** Dependencies and settings of the dispatcher. */
 export interface DispatcherOptions {
   readonly bus: PeerBus;
   readonly timers: TimerService;
@@ -33,21 +36,21 @@
   readonly times?: Partial<LeaseTimes> | undefined;
 }
 
-/** The dispatcher of a daemon, with its start and stop. */
+/** A dispatcher that can be started and stopped. */
 export interface RunningDispatcher extends Dispatcher {
-  /** Begins to renew leases and to answer recalls. */
+  /** Starts to renew leases and to respond to recalls. */
   start(): void;
-  /** Ends renewing; leases end by themselves. */
+  /** Stops renewing; the leases expire. */
   stop(): void;
 }
 
-/** An owner is asked again after this many milliseconds when no engine could be had. */
-const RETRY_MS = 100;
-/** Longest wait for one answer; a broken link is noticed after this. */
-const ASK_MS = 2000;
+/** Pause before the engines are tried again when none granted a lease. */
+const RETRY_INTERVAL_MS = 100;
+/** Longest wait for one response; also bounds how long a broken connection goes unnoticed. */
+const MAX_RESPONSE_WAIT_MS = 2000;
 const RETRY_AFTER_SECONDS = 1;
 
-/** Ends a wait at once when its caller goes, whatever the link does. */
+/** Settles like a promise, but rejects at once when the signal aborts, whatever the connection does. */
 function untilAborted<T>(promise: Promise<T>, signal: AbortSignal): Promise<T> {
   return new Promise((resolve, reject) => {
     const onAbort = (): void => reject(signal.reason);
@@ -56,198 +59,205 @@
   });
 }
 
-/** The dispatcher of one daemon. */
+/** Dispatches the requests of one daemon. */
 class LeaseDispatcher implements RunningDispatcher {
-  private readonly book = new HoldBook();
+  private readonly leases = new LocalLeases();
 
   private readonly times: LeaseTimes;
 
-  private readonly renewals: Renewals;
+  private readonly renewer: LeaseRenewer;
 
   private readonly popularity: PopularityExchange;
 
-  private readonly reused: Counter;
+  private readonly reusedLeases: Counter;
 
-  private readonly asked: Counter;
+  private readonly leaseRequests: Counter;
 
-  private readonly waited: Histogram;
+  private readonly leaseWait: Histogram;
 
   constructor(private readonly options: DispatcherOptions) {
     const { metrics } = options;
     this.popularity = new PopularityExchange(options);
     this.times = { ...DEFAULT_LEASE_TIMES, ...options.times };
     const messages = metrics.counter('celeryyoke_lease_renewals', 'Messages that renewed leases.');
-    this.renewals = new Renewals({ ...options, book: this.book, times: this.times, messages });
-    this.reused = metrics.counter('celeryyoke_leases_reused', 'Requests that used a lease already held.');
-    this.asked = metrics.counter('celeryyoke_leases_asked', 'Messages that asked for a lease.');
-    this.waited = metrics.histogram('celeryyoke_lease_wait', 'Wait for a lease in milliseconds.');
+    this.renewer = new LeaseRenewer({ ...options, leases: this.leases, times: this.times, messages });
+    this.reusedLeases = metrics.counter(
+      'celeryyoke_leases_reused',
+      'Requests that used a lease already held.',
+    );
+    this.leaseRequests = metrics.counter('celeryyoke_leases_asked', 'Messages that asked for a lease.');
+    this.leaseWait = metrics.histogram('celeryyoke_lease_wait', 'Wait for a lease in milliseconds.');
   }
 
   start(): void {
-    this.renewals.start();
+    this.renewer.start();
   }
 
   stop(): void {
-    this.renewals.stop();
+    this.renewer.stop();
   }
 
-  async acquire(want: DispatchWant, signal: AbortSignal): Promise<DispatchGrant> {
+  async acquire(request: DispatchWant, signal: AbortSignal): Promise<DispatchGrant> {
     signal.throwIfAborted();
     const { timers } = this.options;
     const startedAt = timers.now();
-    this.popularity.observe(want.adapter.key);
-    const giveUpAt = Math.min(want.deadlineAt, startedAt + this.times.maxWaitMs);
-    const search = new Search(want, signal, startedAt, giveUpAt);
+    this.popularity.observe(request.adapter.key);
+    const giveUpAt = Math.min(request.deadlineAt, startedAt + this.times.maxWaitMs);
+    const search = new EngineSearch(request, signal, startedAt, giveUpAt);
     for (;;) {
-      const grant = await this.attempt(search);
+      const grant = await this.tryNextEngine(search);
       if (grant !== undefined) {
-        this.waited.record(timers.now() - startedAt);
+        this.leaseWait.record(timers.now() - startedAt);
         return grant;
       }
       signal.throwIfAborted();
-      if (timers.now() >= giveUpAt) throw this.late(search);
+      if (timers.now() >= giveUpAt) throw this.timeoutError(search);
     }
   }
 
-  /** Tries one engine; undefined when the search goes on. */
-  private async attempt(search: Search): Promise<DispatchGrant | undefined> {
-    const choice = this.choose(search);
+  /** Tries to obtain a lease on one engine; undefined when the search continues. */
+  private async tryNextEngine(search: EngineSearch): Promise<DispatchGrant | undefined> {
+    const choice = this.chooseEngine(search);
     if (choice === undefined) {
       await this.pauseOrFail(search);
       return undefined;
     }
     const { engine, reason } = choice;
-    if (search.next !== engine) search.reasons.push(`${engine}: ${reason}`);
-    const held = this.book.find(engine, search.want.adapter.key);
-    if (held !== undefined && this.isUsable(held)) {
-      this.reused.add();
-      return this.begin(search, held);
+    if (search.preferredEngine !== engine) search.reasons.push(`${engine}: ${reason}`);
+    const lease = this.leases.find(engine, search.request.adapter.key);
+    if (lease !== undefined && this.isUsable(lease)) {
+      this.reusedLeases.add();
+      return this.startRequest(search, lease);
     }
-    return this.ask(search, engine);
+    return this.requestLease(search, engine);
   }
 
-  private choose(search: Search): RouteChoice | undefined {
+  private chooseEngine(search: EngineSearch): RouteChoice | undefined {
     const { policy, site, timers } = this.options;
-    const { key, model } = search.want.adapter;
-    const { next } = search;
-    const excluded = search.excluded();
-    if (next !== undefined && !excluded.has(next)) return { engine: next, state: undefined, reason: 'waits' };
+    const { key, model } = search.request.adapter;
+    const { preferredEngine } = search;
+    const excluded = search.excludedEngines();
+    if (preferredEngine !== undefined && !excluded.has(preferredEngine))
+      return { engine: preferredEngine, state: undefined, reason: 'waits' };
     return policy.route({ key, model, excluded }, site, timers.now());
   }
 
-  /** Waits a little before the engines that could not be had are tried again. */
-  private async pauseOrFail(search: Search): Promise<void> {
+  /**
+   * Pauses before the engines that granted no lease are tried again; throws when there is no engine to wait
+   * for.
+   */
+  private async pauseOrFail(search: EngineSearch): Promise<void> {
     const { timers } = this.options;
-    const { key, model } = search.want.adapter;
-    if (search.failed.size === 0 && !this.options.site.isAwaited(model)) {
+    const { key, model } = search.request.adapter;
+    if (search.unavailable.size === 0 && !this.options.site.isOwnerPending(model)) {
       const params = { target: key };
       throw new CeleryyokeError('NoUpstream', params, { retryAfter: RETRY_AFTER_SECONDS });
     }
-    search.failed.clear();
-    const left = Math.max(0, search.giveUpAt - timers.now());
-    await timers.sleep(Math.min(RETRY_MS, left), search.signal);
+    search.unavailable.clear();
+    const remainingMs = Math.max(0, search.giveUpAt - timers.now());
+    await timers.sleep(Math.min(RETRY_INTERVAL_MS, remainingMs), search.signal);
   }
 
-  /** Asks the engine's owner for a lease. */
-  private async ask(search: Search, engine: string): Promise<DispatchGrant | undefined> {
+  /** Requests a lease from the engine's owner; undefined when it is not granted or not usable. */
+  private async requestLease(search: EngineSearch, engine: string): Promise<DispatchGrant | undefined> {
     const { timers, ownership } = this.options;
-    const { key } = search.want.adapter;
+    const { key } = search.request.adapter;
     const owner = ownership.ownerOf(engineResource(engine));
-    const left = search.giveUpAt - timers.now();
-    if (owner === undefined || left <= 0) {
-      search.pass(engine);
+    const remainingMs = search.giveUpAt - timers.now();
+    if (owner === undefined || remainingMs <= 0) {
+      search.skip(engine);
       return undefined;
     }
-    const { hold, ask } = this.book.ask(engine, key, timers.now());
+    const { lease, ask } = this.leases.beginRequest(engine, key, timers.now());
     const askedAt = timers.now();
-    let answer: LeaseAnswer;
+    let response: LeaseResponse;
     try {
-      answer = await this.call(search, owner, engine, ask, left);
+      response = await this.callOwner(search, owner, engine, ask, remainingMs);
     } catch {
-      hold.answered(undefined);
+      lease.endRequest(undefined);
       if (search.signal.aborted || timers.now() >= search.giveUpAt) this.cancel(search, owner, engine);
-      search.pass(engine);
+      search.skip(engine);
       return undefined;
     }
-    const isGranted = answer.outcome === LeaseOutcome.Granted;
-    const lasts = (answer.waitedMs + answer.leaseMs) * (1 - this.times.clockDrift);
-    hold.answered(isGranted ? askedAt + lasts : undefined);
-    search.answered(engine, answer);
-    if (isGranted && !search.signal.aborted && this.isUsable(hold)) return this.begin(search, hold);
-    // A lease that came too late is asked for again, but not in a circle without a pause.
-    if (isGranted) search.pass(engine);
+    const isGranted = response.outcome === LeaseOutcome.Granted;
+    const validForMs = (response.waitedMs + response.leaseMs) * (1 - this.times.clockDrift);
+    lease.endRequest(isGranted ? askedAt + validForMs : undefined);
+    search.applyResponse(engine, response);
+    if (isGranted && !search.signal.aborted && this.isUsable(lease)) return this.startRequest(search, lease);
+    // A grant that arrived too late to be used is requested again, but only after a pause.
+    if (isGranted) search.skip(engine);
     if (search.signal.aborted) this.cancel(search, owner, engine);
     return undefined;
   }
 
-  private call(
-    search: Search,
+  private callOwner(
+    search: EngineSearch,
     owner: string,
     engine: string,
     ask: number,
-    left: number,
-  ): Promise<LeaseAnswer> {
+    remainingMs: number,
+  ): Promise<LeaseResponse> {
     const { bus } = this.options;
-    const { requestId, adapter, priority, deadlineAt } = search.want;
-    const waitMs = Math.min(ASK_MS, left);
-    const deadlineMs = deadlineAt === Infinity ? null : left;
+    const { requestId, adapter, priority, deadlineAt } = search.request;
+    const waitMs = Math.min(MAX_RESPONSE_WAIT_MS, remainingMs);
+    const deadlineMs = deadlineAt === Infinity ? null : remainingMs;
     const input = { engine, key: adapter.key, requestId, ask, priority, waitMs, deadlineMs };
-    this.asked.add();
-    // At the deadline the request ends, whether the owner answers or not.
-    const options = { timeoutMs: Math.min(left, waitMs + this.times.callTimeoutMs), signal: search.signal };
+    this.leaseRequests.add();
+    // The request ends at its deadline, whether the owner responds or not.
+    const options = {
+      timeoutMs: Math.min(remainingMs, waitMs + this.times.callTimeoutMs),
+      signal: search.signal,
+    };
     return untilAborted(bus.call(owner, LEASE_REQUEST, input, options), search.signal);
   }
 
-  private cancel(search: Search, owner: string, engine: string): void {
+  private cancel(search: EngineSearch, owner: string, engine: string): void {
     const { bus } = this.options;
-    const input = { engine, requestId: search.want.requestId };
+    const input = { engine, requestId: search.request.requestId };
     bus.call(owner, LEASE_CANCEL, input, { timeoutMs: this.times.callTimeoutMs }).catch(() => undefined);
   }
 
   /** Whether a request may start under a lease at this moment. */
-  private isUsable(hold: Hold): boolean {
+  private isUsable(lease: LocalLease): boolean {
     const { timers, membership } = this.options;
-    if (hold.isDraining || hold.validUntil <= timers.now()) return false;
-    return !membership.isDoubtful() && membership.isLive(hold.engine);
+    if (lease.isDraining || lease.validUntil <= timers.now()) return false;
+    return !membership.isDoubtful() && membership.isLive(lease.engine);
   }
 
-  private begin(search: Search, hold: Hold): DispatchGrant | undefined {
+  private startRequest(search: EngineSearch, lease: LocalLease): DispatchGrant | undefined {
     const { timers, config, site } = this.options;
-    const engine = config.current()?.engine(hold.engine);
+    const engine = config.current()?.engine(lease.engine);
     if (engine === undefined) {
-      search.pass(hold.engine);
+      search.skip(lease.engine);
       return undefined;
     }
-    hold.start(timers.now());
-    site.count(hold.engine, 1);
-    let isOver = false;
-    const loadWaitMs = search.hasWaited ? timers.now() - search.startedAt : 0;
+    lease.start(timers.now());
+    site.addRunning(lease.engine, 1);
+    let isReleased = false;
+    const loadWaitMs = search.hasWaitedForLoad ? timers.now() - search.startedAt : 0;
     return {
       engine,
       loadWaitMs,
       reasons: search.reasons,
-      isValid: () => !isOver && this.isUsable(hold),
+      isValid: () => !isReleased && this.isUsable(lease),
       release: (settled = false) => {
-        if (isOver) return;
-        isOver = true;
-        site.count(hold.engine, -1);
-        hold.finish(settled, timers.now());
-        if (this.book.finished(hold)) this.renewals.soon(hold.engine);
+        if (isReleased) return;
+        isReleased = true;
+        site.addRunning(lease.engine, -1);
+        lease.finish(settled, timers.now());
+        if (this.leases.endIfDraining(lease)) this.renewer.renewSoon(lease.engine);
       },
     };
   }
 
-  private late(search: Search): CeleryyokeError {
-    if (search.want.deadlineAt <= this.options.timers.now()) return new CeleryyokeError('DeadlineBeforeRun');
+  private timeoutError(search: EngineSearch): CeleryyokeError {
+    if (search.request.deadlineAt <= this.options.timers.now())
+      return new CeleryyokeError('DeadlineBeforeRun');
     return new CeleryyokeError('Overloaded', {}, { retryAfter: RETRY_AFTER_SECONDS });
   }
 }
 
-/**
- * Makes the dispatcher of a daemon.
- * @param options - The parts that it needs.
- * @returns The dispatcher, not yet started.
- */
+/** Creates the dispatcher of a daemon; it does not renew leases before `start`. */
 export function createDispatcher(options: DispatcherOptions): RunningDispatcher {
   return new LeaseDispatcher(options);
 }
--- a/packages/fleet/src/core/leases/messages.ts
+++ b/packages/fleet/src/core/leases/messages.ts
@@ -1,128 +1,129 @@
-/** Messages between the holders of slot leases and the owners of engines. */
+/** Messages between the holders of slot leases and the owners of engines, with their schemas and bounds. */
 import { z } from 'zod';
 
 import type { PeerProcedure } from '../peers/index.js';
 
-/** Most leases of one daemon on one engine that a message names. */
-const MOST_HOLDS = 256;
-const MOST_ENGINES = 1024;
-const MOST_NAME = 256;
+/** Bound on the leases of one daemon on one engine in a message. */
+const MAX_LEASES_PER_ENGINE = 256;
+const MAX_ENGINES = 1024;
+const MAX_NAME_LENGTH = 256;
 
-const name = z.string().max(MOST_NAME);
+const boundedName = z.string().max(MAX_NAME_LENGTH);
 
-/** How a request for a lease ended. */
+/** Outcome of a lease request. */
 export enum LeaseOutcome {
   Granted = 'granted',
-  /** This daemon does not own the engine, or not yet for certain. */
+  /** The daemon does not own the engine, or is not yet certain that it does. */
   NotOwner = 'not-owner',
-  /** The engine is leaving or does not answer. */
+  /** The engine is leaving, is unhealthy, or is draining the adapter's slot. */
   Unavailable = 'unavailable',
   /** The adapter is being loaded on another engine. */
   Moved = 'moved',
   /** The load failed too often. */
   LoadFailed = 'load-failed',
-  /** Nothing yet; the holder asks again with the same request. */
+  /** Not granted yet; the holder sends the same request again. */
   Waiting = 'waiting',
-  /** The request was given up. */
+  /** The request was cancelled. */
   Cancelled = 'cancelled',
 }
 
 const leaseRequest = z.object({
-  engine: name,
-  key: name,
-  requestId: name,
-  /** Number of this request for a lease, rising within the holder's incarnation. */
+  engine: boundedName,
+  key: boundedName,
+  requestId: boundedName,
+  /** Sequence number of the lease request, increasing within the holder's incarnation. */
   ask: z.number(),
   priority: z.number(),
-  /** Longest wait for this answer in milliseconds. */
+  /** Longest wait for this response in milliseconds. */
   waitMs: z.number(),
-  /** Time left until the request's deadline in milliseconds; null for none. */
+  /** Milliseconds left until the request's deadline; null for none. */
   deadlineMs: z.number().nullable(),
 });
 
 /** A request for a lease on an engine's adapter. */
 export type LeaseRequest = z.infer<typeof leaseRequest>;
 
-/** The answer to a request for a lease. */
-export interface LeaseAnswer {
+/** Response to a lease request. */
+export interface LeaseResponse {
   readonly outcome: LeaseOutcome;
-  /** How long the lease holds from when it was granted, in milliseconds; 0 when it was not. */
+  /** Validity of the lease in milliseconds from its grant; 0 when it was not granted. */
   readonly leaseMs: number;
-  /** Time between the arrival of the request and its grant, in milliseconds of the owner's clock. */
+  /** Milliseconds between the arrival of the message and the grant, by the owner's clock. */
   readonly waitedMs: number;
-  /** Engine to ask instead, when the request was moved. */
+  /** Engine to ask instead, when the outcome is `Moved`. */
   readonly engine?: string | undefined;
 }
 
-const leaseCancel = z.object({ engine: name, requestId: name });
+const leaseCancel = z.object({ engine: boundedName, requestId: boundedName });
 
-/** Takes a request for a lease back. */
+/** Cancellation of a lease request. */
 export type LeaseCancel = z.infer<typeof leaseCancel>;
 
 const heldLease = z.object({
-  key: name,
-  /** Highest request for a lease that the holder had made. */
+  key: boundedName,
+  /** Highest sequence number of a lease request that the holder had sent. */
   ask: z.number(),
   /** Requests that run under it. */
   running: z.number(),
 });
 
 const endedLease = z.object({
-  key: name,
+  key: boundedName,
+  /** Highest sequence number of a lease request that the holder had sent when it ended the lease. */
   ask: z.number(),
-  /** Whether it is certain that nothing that was started under it still runs. */
+  /** Whether it is certain that no request that was started under it still runs. */
   settled: z.boolean(),
 });
 
-/** A lease as its holder tells of it. */
+/** A lease as its holder reports it. */
 export type HeldLease = z.infer<typeof heldLease>;
 
 /** A lease that its holder has ended. */
 export type EndedLease = z.infer<typeof endedLease>;
 
 const engineRenewal = z.object({
-  engine: name,
-  held: z.array(heldLease).max(MOST_HOLDS),
-  ended: z.array(endedLease).max(MOST_HOLDS),
+  engine: boundedName,
+  held: z.array(heldLease).max(MAX_LEASES_PER_ENGINE),
+  ended: z.array(endedLease).max(MAX_LEASES_PER_ENGINE),
 });
 
-/** What one daemon holds on one engine. */
+/** Leases of one daemon on one engine: those that it holds and those that it has ended. */
 export type EngineRenewal = z.infer<typeof engineRenewal>;
 
-const leaseRenewal = z.object({ engines: z.array(engineRenewal).max(MOST_ENGINES) });
+const leaseRenewal = z.object({ engines: z.array(engineRenewal).max(MAX_ENGINES) });
 
-/** All that one daemon holds on the engines of one owner. */
+/** Leases of one daemon on the engines of one owner. */
 export type LeaseRenewal = z.infer<typeof leaseRenewal>;
 
-/** The answer to the renewal on one engine. */
-export interface EngineRenewalAnswer {
+/** Response to the renewal on one engine. */
+export interface EngineRenewalResponse {
   readonly engine: string;
-  /** Whether the owner took the message in. */
+  /** Whether the daemon may grant leases on the engine and applied the renewal. */
   readonly accepted: boolean;
   readonly leaseMs: number;
-  /** Keys whose leases no longer hold. */
+  /** Keys whose leases are no longer valid. */
   readonly refused: readonly string[];
 }
 
-/** The answer to a renewal. */
-export interface LeaseRenewalAnswer {
-  readonly engines: readonly EngineRenewalAnswer[];
+/** Response to a renewal. */
+export interface LeaseRenewalResponse {
+  readonly engines: readonly EngineRenewalResponse[];
 }
 
 const leaseRecall = z.object({
-  engine: name,
-  key: name,
-  /** Incarnation of the holder that it is meant for. */
+  engine: boundedName,
+  key: boundedName,
+  /** Incarnation of the holder that the recall is meant for. */
   incarnation: z.number(),
-  /** Whether the holder must start nothing more under it even when requests run. */
+  /** Whether the holder must stop starting requests under the lease even if some still run. */
   drain: z.boolean(),
 });
 
-/** Asks a holder to end a lease if nothing runs under it. */
+/** Asks a holder to end a lease if no request runs under it. */
 export type LeaseRecall = z.infer<typeof leaseRecall>;
 
-/** The answer to a recall. */
-export interface LeaseRecallAnswer {
+/** Response to a recall; `ask` and `settled` are as in an ended lease. */
+export interface LeaseRecallResponse {
   /** Whether the lease has ended. */
   readonly ended: boolean;
   readonly ask: number;
@@ -130,26 +131,26 @@
   readonly running: number;
 }
 
-/** Asks for a lease; answers when it is granted or refused. */
-export const LEASE_REQUEST: PeerProcedure<LeaseRequest, LeaseAnswer> = {
+/** Requests a lease; the response comes when it is granted or refused, or after `waitMs`. */
+export const LEASE_REQUEST: PeerProcedure<LeaseRequest, LeaseResponse> = {
   name: 'lease.request',
   parse: (raw) => leaseRequest.parse(raw),
 };
 
-/** Takes a request for a lease back. */
+/** Cancels a lease request. */
 export const LEASE_CANCEL: PeerProcedure<LeaseCancel, null> = {
   name: 'lease.cancel',
   parse: (raw) => leaseCancel.parse(raw),
 };
 
-/** Renews and ends leases. */
-export const LEASE_RENEW: PeerProcedure<LeaseRenewal, LeaseRenewalAnswer> = {
+/** Renews leases, and reports those that have ended. */
+export const LEASE_RENEW: PeerProcedure<LeaseRenewal, LeaseRenewalResponse> = {
   name: 'lease.renew',
   parse: (raw) => leaseRenewal.parse(raw),
 };
 
-/** Asks a holder to end a lease. */
-export const LEASE_RECALL: PeerProcedure<LeaseRecall, LeaseRecallAnswer> = {
+/** Recalls a lease from its holder. */
+export const LEASE_RECALL: PeerProcedure<LeaseRecall, LeaseRecallResponse> = {
   name: 'lease.recall',
   parse: (raw) => leaseRecall.parse(raw),
 };
--- a/packages/fleet/src/core/leases/popularity.ts
+++ b/packages/fleet/src/core/leases/popularity.ts
@@ -1,7 +1,8 @@
 /**
- * Tells the peers which adapters this daemon's callers have asked for, so that every daemon's policy counts the
- * requests of all that it hears. A daemon tells only of its own requests, so none is counted twice; a section has a
- * fixed bound, whatever the number of adapters.
+ * Exchanges adapter popularity between daemons: each daemon reports the requests of its own callers to its
+ * peers in the heartbeat, so that every daemon's placement policy counts the requests of all daemons that it
+ * can reach. Only a daemon's own requests are reported, so none is counted twice. The size of a section is
+ * bounded, whatever the number of adapters.
  */
 import type { TimerService } from '@celeryyoke/core';
 import type { PlacementPolicy } from '@celeryyoke/placement';
@@ -9,36 +10,35 @@
 
 import type { PeerBus } from '../peers/index.js';
 
-/** Most adapters in one section; the least asked for are left out. */
-const MOST_ADAPTERS = 64;
-/** Most requests for one adapter that a section is believed. */
-const MOST_COUNT = 10_000;
-/** Requests that are remembered for peers that have not been told yet. */
-const MOST_REQUESTS = 4096;
+/** Bound on the adapters in one section; the least requested ones are left out. */
+const MAX_ADAPTERS = 64;
+/** Bound on the requests for one adapter in a section; a section with more is rejected. */
+const MAX_COUNT = 10_000;
+/** Minimum number of recent requests that are kept for peers that have not received them yet. */
+const MAX_PENDING_REQUESTS = 4096;
 
 const popularitySection = z
-  .array(z.object({ key: z.string(), count: z.number().int().min(1).max(MOST_COUNT) }))
-  .max(MOST_ADAPTERS);
+  .array(z.object({ key: z.string(), count: z.number().int().min(1).max(MAX_COUNT) }))
+  .max(MAX_ADAPTERS);
 
 type AdapterCount = z.infer<typeof popularitySection>[number];
 
-/** Options of the exchange. */
 export interface PopularityExchangeOptions {
   readonly bus: PeerBus;
   readonly timers: TimerService;
   readonly policy: PlacementPolicy;
 }
 
-/** The exchange of one daemon. */
+/** Counts the requests of this daemon's callers, and exchanges the counts with the peers. */
 export class PopularityExchange {
-  /** Keys of the newest requests, oldest first. */
+  /** Adapter keys of the most recent requests, oldest first. */
   private recent: string[] = [];
 
-  /** Number of the oldest of them. */
-  private first = 0;
+  /** Sequence number of the oldest request in `recent`. */
+  private firstNumber = 0;
 
-  /** For each peer, the number of the first request that it has not been told of. */
-  private readonly toldTo = new Map<string, number>();
+  /** For each peer, the sequence number of the first request that was not reported to it. */
+  private readonly nextNumberFor = new Map<string, number>();
 
   constructor(private readonly options: PopularityExchangeOptions) {
     options.bus.contribute({
@@ -48,25 +48,26 @@
     });
   }
 
-  /** Counts a request of this daemon's callers. */
+  /** Counts a request of one of this daemon's callers. */
   observe(key: string): void {
     const { policy, timers } = this.options;
     policy.observe(key, timers.now());
     this.recent.push(key);
-    if (this.recent.length < 2 * MOST_REQUESTS) return;
-    this.recent = this.recent.slice(MOST_REQUESTS);
-    this.first += MOST_REQUESTS;
+    if (this.recent.length < 2 * MAX_PENDING_REQUESTS) return;
+    this.recent = this.recent.slice(MAX_PENDING_REQUESTS);
+    this.firstNumber += MAX_PENDING_REQUESTS;
   }
 
   private collect(peer: string): readonly AdapterCount[] | undefined {
-    const next = this.first + this.recent.length;
-    const from = Math.max(this.first, this.toldTo.get(peer) ?? next);
-    this.toldTo.set(peer, next);
-    if (from === next) return undefined;
+    const nextNumber = this.firstNumber + this.recent.length;
+    const fromNumber = Math.max(this.firstNumber, this.nextNumberFor.get(peer) ?? nextNumber);
+    this.nextNumberFor.set(peer, nextNumber);
+    if (fromNumber === nextNumber) return undefined;
     const counts = new Map<string, number>();
-    for (const key of this.recent.slice(from - this.first)) counts.set(key, (counts.get(key) ?? 0) + 1);
-    const told = [...counts].map(([key, count]) => ({ key, count }));
-    return told.sort((left, right) => right.count - left.count).slice(0, MOST_ADAPTERS);
+    for (const key of this.recent.slice(fromNumber - this.firstNumber))
+      counts.set(key, (counts.get(key) ?? 0) + 1);
+    const entries = [...counts].map(([key, count]) => ({ key, count }));
+    return entries.sort((left, right) => right.count - left.count).slice(0, MAX_ADAPTERS);
   }
 
   private absorb(data: unknown): void {
--- a/packages/fleet/src/core/leases/search.ts
+++ b/packages/fleet/src/core/leases/search.ts
@@ -1,54 +1,54 @@
-/** The search of one request for an engine. */
-import type { LeaseAnswer } from './messages.js';
+/** State of one request's search for an engine. */
+import type { LeaseResponse } from './messages.js';
 import { LeaseOutcome } from './messages.js';
 import type { DispatchWant } from './types.js';
 
-/** What a request has tried so far. */
-export class Search {
-  /** Why it went where it went. */
+/** Tracks which engines a request has tried and where it waits. */
+export class EngineSearch {
+  /** Why each engine was chosen, for `celeryyoke explain`. */
   readonly reasons: string[] = [];
 
-  /** Engines that could not be had just now. */
-  readonly failed = new Set<string>();
+  /** Engines that granted no lease; cleared before they are tried again. */
+  readonly unavailable = new Set<string>();
 
-  /** Engine where the request waits, or to which it was moved. */
-  next: string | undefined;
+  /** Engine at whose owner the request waits, or to which it was moved. */
+  preferredEngine: string | undefined;
 
-  /** Whether the adapter was not loaded when it was first asked for. */
-  hasWaited = false;
+  /** Whether the request had to wait for the adapter to be loaded. */
+  hasWaitedForLoad = false;
 
   constructor(
-    readonly want: DispatchWant,
+    readonly request: DispatchWant,
     readonly signal: AbortSignal,
     readonly startedAt: number,
-    /** Monotonic milliseconds when it ends without a lease. */
+    /** Monotonic milliseconds when the search ends without a lease. */
     readonly giveUpAt: number,
   ) {}
 
-  /** Engines that do not come into question now. */
-  excluded(): ReadonlySet<string> {
-    const { excluded } = this.want;
-    return this.failed.size === 0 ? excluded : new Set([...excluded, ...this.failed]);
+  /** Engines that must not be chosen now. */
+  excludedEngines(): ReadonlySet<string> {
+    const { excluded } = this.request;
+    return this.unavailable.size === 0 ? excluded : new Set([...excluded, ...this.unavailable]);
   }
 
-  /** Notes what an owner answered. */
-  answered(engine: string, answer: LeaseAnswer): void {
-    if (answer.waitedMs > 0) this.hasWaited = true;
-    if (answer.outcome === LeaseOutcome.Waiting) {
-      this.hasWaited = true;
-      this.next = engine;
-    } else if (answer.outcome === LeaseOutcome.Moved && answer.engine !== undefined) {
-      this.hasWaited = true;
-      this.reasons.push(`${answer.engine}: loads it`);
-      this.next = answer.engine;
-    } else if (answer.outcome !== LeaseOutcome.Granted) {
-      this.pass(engine);
+  /** Applies an owner's response to a lease request. */
+  applyResponse(engine: string, response: LeaseResponse): void {
+    if (response.waitedMs > 0) this.hasWaitedForLoad = true;
+    if (response.outcome === LeaseOutcome.Waiting) {
+      this.hasWaitedForLoad = true;
+      this.preferredEngine = engine;
+    } else if (response.outcome === LeaseOutcome.Moved && response.engine !== undefined) {
+      this.hasWaitedForLoad = true;
+      this.reasons.push(`${response.engine}: loads it`);
+      this.preferredEngine = response.engine;
+    } else if (response.outcome !== LeaseOutcome.Granted) {
+      this.skip(engine);
     }
   }
 
-  /** Passes an engine over for now. */
-  pass(engine: string): void {
-    if (this.next === engine) this.next = undefined;
-    this.failed.add(engine);
+  /** Excludes an engine until `unavailable` is cleared. */
+  skip(engine: string): void {
+    if (this.preferredEngine === engine) this.preferredEngine = undefined;
+    this.unavailable.add(engine);
   }
 }
--- a/packages/fleet/src/core/leases/site.ts
+++ b/packages/fleet/src/core/leases/site.ts
@@ -1,6 +1,7 @@
 /**
- * What a daemon knows of all engines: owners tell in the heartbeat what is loaded and how much runs. The view
- * lags and decides only where a request asks for a lease; whether it gets one is the owner's decision.
+ * State of all engines as this daemon knows it. Owners publish in the heartbeat which adapters are resident
+ * and how many requests run. The state lags, and only decides which engine's owner a request asks for a
+ * lease; the owner decides whether to grant one.
  */
 import type { ConfigHolder, EngineConfig } from '@celeryyoke/configuration';
 import type { HostEntry } from '@celeryyoke/platform';
@@ -11,43 +12,45 @@
 import type { PeerBus } from '../peers/index.js';
 import { createSiteSection } from './siteSection.js';
 
-/** What an owner tells of an engine. */
+/** State of one engine, as its owner publishes it. */
 export interface EngineState {
   readonly engine: string;
   readonly running: number;
   readonly waiting: number;
   readonly healthy: boolean;
-  /** Whether its owner may give leases now; a new one has to wait for a while. */
+  /**
+   * Whether its owner may grant leases now; a new owner must first wait out the leases of the previous one.
+   */
   readonly granting: boolean;
-  /** Share of full use that it may get after a restart, 0 to 1. */
+  /** Share of its full load that the engine may get after a restart, 0 to 1. */
   readonly warmth: number;
+  /** Slot states by adapter key; a map is not changed but replaced, so that changes are found by identity. */
   readonly keys: ReadonlyMap<string, SlotState>;
 }
 
-/** The view of all engines. */
+/** State of all engines, for routing and readiness. */
 export interface SiteBook extends SiteView {
-  /** Takes in what an owner in this process tells of its engine, and passes it on to the peers. */
-  tell(state: EngineState): void;
-  /** Takes in what a peer told. */
-  learn(state: EngineState): void;
-  /** Ends telling of an engine that this daemon no longer owns. */
-  forget(engine: string): void;
-  /** Whether a live engine of a model has an owner that will give leases soon. */
-  isAwaited(model: string): boolean;
-  /** Whether an engine has been heard of whose owner gives leases. */
+  /** Sets the state of an engine that this daemon owns, and publishes it to the peers. */
+  publish(state: EngineState): void;
+  /** Merges a state that a peer published. */
+  merge(state: EngineState): void;
+  /** Stops publishing the state of an engine that this daemon no longer owns. */
+  withdraw(engine: string): void;
+  /** Whether a model has a live, healthy engine whose owner can't grant leases yet. */
+  isOwnerPending(model: string): boolean;
+  /** Whether any healthy engine's owner has been able to grant leases since this process started. */
   hasServed(): boolean;
-  /** Counts a request that this daemon starts (1) or has ended (-1) on an engine. */
-  count(engine: string, change: number): void;
+  /** Counts a request that this daemon has started (1) or ended (-1) on an engine. */
+  addRunning(engine: string, change: number): void;
 }
 
-/** Options of the view. */
-export interface SiteBookOptions {
+export interface SiteStateOptions {
   readonly bus: PeerBus;
   readonly config: ConfigHolder;
   readonly membership: Membership;
 }
 
-/** One engine; what it tells changes in place, so that no look-up makes objects. */
+/** State of one engine; updated in place, so that look-ups allocate no objects. */
 class EngineEntry implements EngineView {
   readonly name: string;
 
@@ -61,12 +64,12 @@
 
   granting = true;
 
-  private told = 0;
+  private reportedRunning = 0;
 
-  /** Requests of this daemon that run, now and when the owner told last. */
-  private local = 0;
+  /** Running requests of this daemon, now and when the owner's last state was applied. */
+  private localRunning = 0;
 
-  private localWhenTold = 0;
+  private localAtReport = 0;
 
   constructor(public config: EngineConfig) {
     this.name = config.name;
@@ -89,12 +92,12 @@
   }
 
   get running(): number {
-    return Math.max(this.local, this.told + this.local - this.localWhenTold);
+    return Math.max(this.localRunning, this.reportedRunning + this.localRunning - this.localAtReport);
   }
 
-  take(state: EngineState): void {
-    this.told = state.running;
-    this.localWhenTold = this.local;
+  apply(state: EngineState): void {
+    this.reportedRunning = state.running;
+    this.localAtReport = this.localRunning;
     this.waiting = state.waiting;
     this.warmth = state.warmth;
     this.healthy = state.healthy;
@@ -102,14 +105,17 @@
     this.keys = state.keys;
   }
 
-  count(change: number): void {
-    this.local += change;
+  addRunning(change: number): void {
+    this.localRunning += change;
   }
 }
 
-const NONE: readonly EngineView[] = [];
+const NO_ENGINES: readonly EngineView[] = [];
 
-/** The view, kept as indexes that change when the configuration, the hosts or a state change. */
+/**
+ * Site state with indexes by model and by adapter key; updated when the configuration, the hosts or a state
+ * change.
+ */
 class SiteIndex implements SiteBook {
   private readonly entries = new Map<string, EngineEntry>();
 
@@ -117,65 +123,66 @@
 
   private readonly byKey = new Map<string, EngineEntry[]>();
 
-  /** Models of live engines whose owners wait. */
-  private readonly awaited = new Set<string>();
+  /** Models with a live, healthy engine whose owner can't grant leases yet. */
+  private readonly modelsWithPendingOwner = new Set<string>();
 
-  private isServed = false;
+  private hasGrantingOwner = false;
 
-  readonly own = new Map<string, EngineState>();
+  /** States of the engines that this daemon owns. */
+  readonly ownStates = new Map<string, EngineState>();
 
-  /** The engines of the list that the indexes rest on. */
-  private hosts: readonly HostEntry[] = [];
+  /** The host list's engines from which the indexes were built. */
+  private indexedHosts: readonly HostEntry[] = [];
 
-  constructor(private readonly options: SiteBookOptions) {
+  constructor(private readonly options: SiteStateOptions) {
     const { config, membership } = options;
     config.subscribe(() => this.rebuild());
-    membership.subscribe(() => this.followHosts());
+    membership.subscribe(() => this.handleMembershipChange());
     this.rebuild();
   }
 
   engines(model: string): readonly EngineView[] {
-    return this.byModel.get(model) ?? NONE;
+    return this.byModel.get(model) ?? NO_ENGINES;
   }
 
   holders(key: string): readonly EngineView[] {
-    return this.byKey.get(key) ?? NONE;
+    return this.byKey.get(key) ?? NO_ENGINES;
   }
 
-  tell(state: EngineState): void {
-    this.own.set(state.engine, state);
-    this.learn(state);
+  publish(state: EngineState): void {
+    this.ownStates.set(state.engine, state);
+    this.merge(state);
   }
 
-  learn(state: EngineState): void {
+  merge(state: EngineState): void {
     const entry = this.entries.get(state.engine);
     if (entry === undefined) return;
-    const before = entry.healthy && entry.granting;
-    const after = state.healthy && state.granting;
-    this.isServed ||= after;
+    const wasGranting = entry.healthy && entry.granting;
+    const isGranting = state.healthy && state.granting;
+    this.hasGrantingOwner ||= isGranting;
     if (entry.keys !== state.keys) this.reindex(entry, state.keys);
-    entry.take(state);
-    if (after !== before) this.rebuild();
+    entry.apply(state);
+    if (isGranting !== wasGranting) this.rebuild();
   }
 
-  forget(engine: string): void {
-    this.own.delete(engine);
+  withdraw(engine: string): void {
+    this.ownStates.delete(engine);
   }
 
-  isAwaited(model: string): boolean {
-    return this.awaited.has(model);
+  isOwnerPending(model: string): boolean {
+    return this.modelsWithPendingOwner.has(model);
   }
 
   hasServed(): boolean {
-    return this.isServed;
+    return this.hasGrantingOwner;
   }
 
-  count(engine: string, change: number): void {
-    this.entries.get(engine)?.count(change);
+  addRunning(engine: string, change: number): void {
+    this.entries.get(engine)?.addRunning(change);
   }
 
   private reindex(entry: EngineEntry, keys: ReadonlyMap<string, SlotState>): void {
-    for (const key of entry.keys.keys()) if (!keys.has(key)) this.dropHolder(key, entry);
+    for (const key of entry.keys.keys()) if (!keys.has(key)) this.removeHolder(key, entry);
     if (!this.engines(entry.model).includes(entry)) return;
     for (const key of keys.keys()) if (!entry.keys.has(key)) this.addHolder(key, entry);
   }
@@ -186,34 +193,37 @@
     else holders.push(entry);
   }
 
-  private dropHolder(key: string, entry: EngineEntry): void {
-    const left = (this.byKey.get(key) ?? []).filter((other) => other !== entry);
-    if (left.length === 0) this.byKey.delete(key);
-    else this.byKey.set(key, left);
+  private removeHolder(key: string, entry: EngineEntry): void {
+    const remaining = (this.byKey.get(key) ?? []).filter((other) => other !== entry);
+    if (remaining.length === 0) this.byKey.delete(key);
+    else this.byKey.set(key, remaining);
   }
 
-  /** Most news of membership is about other daemons; the list of engines stays the same array until it changes. */
-  private followHosts(): void {
-    if (this.options.membership.hosts(HostRole.Engine) !== this.hosts) this.rebuild();
+  /**
+   * Rebuilds only when the engine hosts have changed: most membership updates concern daemons and keep the
+   * same array.
+   */
+  private handleMembershipChange(): void {
+    if (this.options.membership.hosts(HostRole.Engine) !== this.indexedHosts) this.rebuild();
   }
 
-  /** Rebuilds the indexes out of the configuration and the hosts. */
+  /** Rebuilds the indexes from the configuration, the hosts and the engine states. */
   private rebuild(): void {
     const { config, membership } = this.options;
-    const declared = config.current()?.config.engines ?? [];
-    this.hosts = membership.hosts(HostRole.Engine);
-    const names = new Set(declared.map((engine) => engine.name));
+    const configured = config.current()?.config.engines ?? [];
+    this.indexedHosts = membership.hosts(HostRole.Engine);
+    const names = new Set(configured.map((engine) => engine.name));
     for (const name of this.entries.keys()) if (!names.has(name)) this.entries.delete(name);
     this.byModel.clear();
     this.byKey.clear();
-    this.awaited.clear();
-    for (const engine of declared) {
+    this.modelsWithPendingOwner.clear();
+    for (const engine of configured) {
       const entry = this.entries.get(engine.name) ?? new EngineEntry(engine);
       entry.config = engine;
       this.entries.set(engine.name, entry);
       if (!entry.healthy || !membership.isLive(engine.name)) continue;
       if (!entry.granting) {
-        this.awaited.add(engine.model);
+        this.modelsWithPendingOwner.add(engine.model);
         continue;
       }
       const ofModel = this.byModel.get(engine.model);
@@ -224,13 +234,9 @@
   }
 }
 
-/**
- * Makes the view and joins it to the heartbeat.
- * @param options - The parts that it rests on.
- * @returns The view.
- */
-export function createSiteBook(options: SiteBookOptions): SiteBook {
+/** Creates the site state and adds its section to the heartbeat. */
+export function createSiteBook(options: SiteStateOptions): SiteBook {
   const site = new SiteIndex(options);
-  options.bus.contribute(createSiteSection(site.own, (state) => site.learn(state)));
+  options.bus.contribute(createSiteSection(site.ownStates, (state) => site.merge(state)));
   return site;
 }
--- a/packages/fleet/src/core/leases/types.ts
+++ b/packages/fleet/src/core/leases/types.ts
@@ -1,4 +1,7 @@
-/** Slot leases: leave to run a request on an engine's adapter, given by the engine's owner. */
+/**
+ * Types of slot leases. A slot lease lets a daemon run requests on an engine's adapter; the engine's owner
+ * grants it.
+ */
 import type { EngineConfig, ResolvedAdapter } from '@celeryyoke/configuration';
 
 /** A request that needs an engine. */
@@ -9,67 +12,68 @@
   readonly priority: number;
   /** Monotonic milliseconds; Infinity for none. */
   readonly deadlineAt: number;
-  /** Engines that it may not go to, because they failed it or because of suspicion. */
+  /**
+   * Engines that the request must not use, because they failed it or because suspected requests occupy them.
+   */
   readonly excluded: ReadonlySet<string>;
 }
 
-/** A slot lease that is held for one request. */
+/** One request's use of a slot lease. */
 export interface DispatchGrant {
   readonly engine: EngineConfig;
-  /** Time that the request waited for an adapter to be loaded, in milliseconds. */
+  /** Milliseconds that the request waited for an adapter to be loaded. */
   readonly loadWaitMs: number;
-  /** Why this engine, for `celeryyoke explain`. */
+  /** Why this engine was chosen, for `celeryyoke explain`. */
   readonly reasons: readonly string[];
-  /** Whether the lease still holds; ask in the same step that sends the request. */
+  /** Whether the lease is still valid; check it in the same synchronous step that sends the request. */
   isValid(): boolean;
   /**
-   * Ends the lease; calling it twice does nothing.
-   * @param settled - Whether it is certain that nothing of the request runs on the engine any more: it was
-   * not sent, was refused, or its answer came to its end. False when left out; the slot is then reused only
-   * after the engine's own report shows that it is empty.
+   * Ends the request's use of the lease; further calls have no effect.
+   * @param settled - Whether it is certain that the request no longer runs on the engine: it was not sent, it
+   * was refused, or its response is complete. Defaults to false; the slot is then reused only after a report
+   * of the engine shows it idle.
    */
   release(settled?: boolean): void;
 }
 
-/** Finds an engine for a request and holds its slot. */
+/** Finds an engine for a request and obtains a lease on its slot. */
 export interface Dispatcher {
   /**
    * Waits for a slot lease.
-   * @param want - The request.
-   * @param signal - Gives up waiting.
-   * @returns The lease.
-   * @throws CeleryyokeError with a not-run code when there is none to be had.
+   * @param request - The request.
+   * @param signal - Cancels the wait.
+   * @throws CeleryyokeError with a not-run code when no engine grants a lease.
    */
-  acquire(want: DispatchWant, signal: AbortSignal): Promise<DispatchGrant>;
+  acquire(request: DispatchWant, signal: AbortSignal): Promise<DispatchGrant>;
 }
 
-/** Times on which leases rest, in milliseconds. */
+/** Durations, bounds and intervals of leases; in milliseconds, except for `clockDrift`. */
 export interface LeaseTimes {
-  /** How long a lease holds after it was asked for or last renewed. */
+  /** Validity of a lease after it was requested or last renewed. */
   readonly leaseMs: number;
   /** Interval of renewals. */
   readonly renewMs: number;
-  /** How long a lease without requests is kept. */
+  /** How long a holder keeps a lease that no request uses. */
   readonly lingerMs: number;
   /** Bound on the time between the check of a lease and the arrival of the request at the engine. */
   readonly sendBoundMs: number;
-  /** Share by which two monotonic clocks may run apart. */
+  /** Bound on the drift between two monotonic clocks, as a share. */
   readonly clockDrift: number;
   /** Timeout of a call between daemons that does not wait for a load. */
   readonly callTimeoutMs: number;
-  /** Interval at which an owner reads its engines' reports. */
+  /** Interval at which an owner polls its engines' reports. */
   readonly reportMs: number;
-  /** Bound on the age of the facts in a report that its engine does not know of. */
+  /** Bound on the age of a report's content beyond what the engine can state. */
   readonly reportLagMs: number;
-  /** Time limit of an order to load. */
+  /** Timeout of a load order. */
   readonly loadTimeoutMs: number;
-  /** Time limit of an order to unload. */
+  /** Timeout of an unload order. */
   readonly unloadTimeoutMs: number;
-  /** How long a request may wait for a lease when its caller states no deadline. */
+  /** Longest wait of a request for a lease, also when its caller states no deadline. */
   readonly maxWaitMs: number;
 }
 
-/** The times when the settings state no others. */
+/** Used for the times that the options leave out. */
 export const DEFAULT_LEASE_TIMES: LeaseTimes = {
   leaseMs: 3000,
   renewMs: 500,
--- a/packages/fleet/test/leases/fakeEngine.ts
+++ b/packages/fleet/test/leases/fakeEngine.ts
@@ -1,52 +1,55 @@
-/** A small engine that checks for itself what must never happen to it. */
+/**
+ * A fake engine with adapter slots and lagging reports, which records violations such as an unload during a
+ * request.
+ */
 import type { TimerService } from '@celeryyoke/core';
 import type { EngineClient, EngineOrder, EngineReport, OrderResult } from '@celeryyoke/platform';
 import { OrderKind, OrderOutcome } from '@celeryyoke/platform';
 
-/** How the engine behaves. */
 export interface FakeEngineOptions {
   readonly name: string;
   readonly timers: TimerService;
   readonly slots: number;
   readonly loadMs?: number;
   readonly unloadMs?: number;
-  /** How old the facts in its reports are; it does not know. */
+  /** Age of the state in its reports, which the reports don't state. */
   readonly lagMs?: number;
   readonly fencing?: boolean;
 }
 
-/** What an order is to meet. */
+/** Fault that is injected into an order. */
 export enum OrderFault {
-  /** It fails partway. */
+  /** The order fails before it is complete. */
   Fail = 'fail',
-  /** It is carried out, but its answer is lost. */
-  LoseAnswer = 'lose-answer',
-  /** It is not carried out and its answer is lost. */
+  /** The order is carried out, but its response is lost. */
+  LoseResponse = 'lose-response',
+  /** The order is lost before it is carried out. */
   LoseOrder = 'lose-order',
 }
 
-interface Past {
+interface PastReport {
   readonly at: number;
   readonly report: EngineReport;
 }
 
-/** The engine. */
+/** An engine that refuses what its slots and fencing don't allow. */
 export class FakeEngine {
-  /** What went wrong, in its own eyes. */
+  /** Violations that the engine has detected. */
   readonly violations: string[] = [];
 
-  /** Adapters that were loaded, in order. */
+  /** Keys of the adapters that were loaded, in order. */
   readonly loads: string[] = [];
 
+  /** Faults of the next orders, in order. */
   readonly faults: OrderFault[] = [];
 
-  /** When loads began. */
+  /** Times at which loads began. */
   readonly loadStarts: number[] = [];
 
   isDown = false;
 
-  /** Orders that were refused because of their fencing number. */
-  refusals = 0;
+  /** Number of orders refused because their fencing token was outdated. */
+  fencedOrders = 0;
 
   private readonly ready = new Set<string>();
 
@@ -60,28 +63,26 @@
 
   private fencing = 0;
 
-  private past: Past[] = [];
+  private reportHistory: PastReport[] = [];
 
   constructor(readonly options: FakeEngineOptions) {
-    this.note();
+    this.recordReport();
   }
 
-  /** Starts a request; refuses it when its adapter is not loaded. */
+  /** Starts a request; false when its adapter is not resident or the engine is down. */
   start(requestId: string, key: string): boolean {
     if (this.isDown || !this.ready.has(key)) return false;
     this.running.set(requestId, key);
-    this.note();
+    this.recordReport();
     return true;
   }
 
-  /** Ends a request. */
   end(requestId: string): void {
     this.running.delete(requestId);
-    this.note();
+    this.recordReport();
   }
 
-  /** Number of requests that run. */
-  requests(): number {
+  runningRequests(): number {
     return this.running.size;
   }
 
@@ -89,21 +90,20 @@
     return this.unloading.has(key);
   }
 
-  has(key: string): boolean {
+  isReady(key: string): boolean {
     return this.ready.has(key);
   }
 
-  /** Restarts with nothing loaded. */
+  /** Restarts without resident adapters. */
   restart(): void {
     this.incarnation += 1;
     this.ready.clear();
     this.loading.clear();
     this.running.clear();
-    this.past = [];
-    this.note();
+    this.reportHistory = [];
+    this.recordReport();
   }
 
-  /** A client of it. */
   client(): EngineClient {
     const unused = async (): Promise<never> => {
       throw new Error('not part of the fake');
@@ -122,17 +122,17 @@
   private report(): EngineReport {
     if (this.isDown) throw new Error('down');
     const { timers, lagMs = 0 } = this.options;
-    const before = timers.now() - lagMs;
-    let shown = this.past[0]!;
-    for (const entry of this.past) if (entry.at <= before) shown = entry;
-    return shown.report;
+    const visibleUntil = timers.now() - lagMs;
+    let visible = this.reportHistory[0]!;
+    for (const entry of this.reportHistory) if (entry.at <= visibleUntil) visible = entry;
+    return visible.report;
   }
 
   private async order(order: EngineOrder): Promise<OrderResult> {
     const { timers, fencing = false, loadMs = 500, unloadMs = 5 } = this.options;
     if (this.isDown) return { outcome: OrderOutcome.Unknown };
     if (fencing && order.fencing < this.fencing) {
-      this.refusals += 1;
+      this.fencedOrders += 1;
       return { outcome: OrderOutcome.Fenced };
     }
     this.fencing = Math.max(this.fencing, order.fencing);
@@ -145,40 +145,40 @@
       }
       this.loading.add(order.subject);
       this.loadStarts.push(timers.now());
-      this.note();
+      this.recordReport();
     }
     if (order.kind === OrderKind.Role) {
-      this.note();
+      this.recordReport();
       return { outcome: OrderOutcome.Done };
     }
     if (order.kind === OrderKind.Unload) this.unloading.add(order.subject);
     await timers.sleep(order.kind === OrderKind.Load ? loadMs : unloadMs);
     this.unloading.delete(order.subject);
     if (incarnation !== this.incarnation) return { outcome: OrderOutcome.Failed, reason: 'restarted' };
-    if (order.kind === OrderKind.Load) this.endLoad(order.subject, fault === OrderFault.Fail);
+    if (order.kind === OrderKind.Load) this.finishLoad(order.subject, fault === OrderFault.Fail);
     else this.unload(order.subject);
     if (fault === OrderFault.Fail) return { outcome: OrderOutcome.Failed, reason: 'failed partway' };
-    return { outcome: fault === OrderFault.LoseAnswer ? OrderOutcome.Unknown : OrderOutcome.Done };
+    return { outcome: fault === OrderFault.LoseResponse ? OrderOutcome.Unknown : OrderOutcome.Done };
   }
 
-  private endLoad(key: string, hasFailed: boolean): void {
+  private finishLoad(key: string, hasFailed: boolean): void {
     this.loading.delete(key);
     if (!hasFailed) {
       this.ready.add(key);
       this.loads.push(key);
     }
-    this.note();
+    this.recordReport();
   }
 
   private unload(key: string): void {
-    const users = [...this.running].filter(([, used]) => used === key).map(([id]) => id);
-    if (users.length > 0) this.violations.push(`unloaded ${key} while ${users.join(', ')} ran`);
+    const requests = [...this.running].filter(([, used]) => used === key).map(([id]) => id);
+    if (requests.length > 0) this.violations.push(`unloaded ${key} while ${requests.join(', ')} ran`);
     this.ready.delete(key);
-    this.note();
+    this.recordReport();
   }
 
-  /** Keeps what a later report shows of now. */
-  private note(): void {
+  /** Records the present state for later reports. */
+  private recordReport(): void {
     const { timers } = this.options;
     const count = (key: string): number => [...this.running.values()].filter((used) => used === key).length;
     const report: EngineReport = {
@@ -194,6 +194,6 @@
       role: 'serve',
       batchFill: 0,
     };
-    this.past.push({ at: timers.now(), report });
+    this.reportHistory.push({ at: timers.now(), report });
   }
 }
--- a/packages/fleet/test/leases/faults.ts
+++ b/packages/fleet/test/leases/faults.ts
@@ -1,97 +1,103 @@
-/** Faults of one daemon's process and links: pauses, and lost, late, doubled and reordered messages. */
+/**
+ * Fault injection for one daemon: a process that can be paused, and lost, delayed, duplicated and reordered
+ * messages.
+ */
 import type { ManualTimerService, TimerService } from '@celeryyoke/core';
 import { CeleryyokeError, hash32 } from '@celeryyoke/core';
 import type { EngineClient } from '@celeryyoke/platform';
 
 import type { PeerBus, PeerCallOptions, PeerProcedure } from '../../src/index.js';
 
-const WHOLE = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 
-/** What a message that is lost answers. */
-const NEVER = new Promise<never>(() => {});
+/** Response to a message that is lost. */
+const NEVER_SETTLES = new Promise<never>(() => {});
 
-/** Seeded random numbers. */
-export class Chance {
+/** Seeded, reproducible random numbers. */
+export class SeededRandom {
   private count = 0;
 
   constructor(private readonly seed: number) {}
 
-  /** A number from 0 up to 1. */
+  /** Returns the next number, at least 0 and less than 1. */
   next(): number {
     this.count += 1;
-    return hash32(String(this.count), this.seed) / WHOLE;
+    return hash32(String(this.count), this.seed) / HASH_RANGE;
   }
 }
 
-/** A process that can be paused: nothing in it goes on until it is woken. */
-export class Process {
-  private wakers: (() => void)[] | undefined;
+/** A process that can be paused: its timers, calls and responses are held back until it is resumed. */
+export class FakeProcess {
+  private onResume: (() => void)[] | undefined;
 
   isDead = false;
 
-  wokenAt = -Infinity;
+  resumedAt = -Infinity;
 
-  private isSendPaused = false;
+  private pausesBeforeSend = false;
 
   constructor(private readonly timers: ManualTimerService) {}
 
   get isPaused(): boolean {
-    return this.wakers !== undefined;
+    return this.onResume !== undefined;
   }
 
   pause(): void {
-    this.wakers ??= [];
+    this.onResume ??= [];
   }
 
-  /** Pauses before the next request is sent, after its lease was given. */
+  /** Pauses the process between the grant of the next lease and the sending of its request. */
   pauseBeforeSend(): void {
-    this.isSendPaused = true;
+    this.pausesBeforeSend = true;
   }
 
-  /** Comes between the grant of a lease and the sending of its request. */
+  /**
+   * Runs between the grant of a lease and the sending of its request; resolves when the process is not
+   * paused.
+   */
   beforeSend(): Promise<void> {
-    if (this.isSendPaused) this.pause();
-    this.isSendPaused = false;
-    return this.running();
+    if (this.pausesBeforeSend) this.pause();
+    this.pausesBeforeSend = false;
+    return this.whenRunning();
   }
 
-  wake(): void {
-    const wakers = this.wakers ?? [];
-    this.wakers = undefined;
-    this.wokenAt = this.timers.now();
-    for (const waker of wakers) waker();
+  resume(): void {
+    const callbacks = this.onResume ?? [];
+    this.onResume = undefined;
+    this.resumedAt = this.timers.now();
+    for (const callback of callbacks) callback();
   }
 
-  /** Settles when the process runs; never when it has crashed. */
-  running(): Promise<void> {
-    if (this.isDead) return NEVER;
-    if (this.wakers === undefined) return Promise.resolve();
+  /** Resolves when the process is not paused; never when it has crashed. */
+  whenRunning(): Promise<void> {
+    if (this.isDead) return NEVER_SETTLES;
+    if (this.onResume === undefined) return Promise.resolve();
     return new Promise((resolve) => {
-      this.wakers?.push(() => {
-        resolve(this.running());
+      this.onResume?.push(() => {
+        resolve(this.whenRunning());
       });
     });
   }
 
-  /** Timers whose callbacks wait while the process is paused. */
-  service(): TimerService {
+  /** Timers whose callbacks are held back while the process is paused. */
+  timerService(): TimerService {
     const { timers } = this;
     const gated = (callback: () => void) => (): void => {
       if (this.isDead) return;
-      if (this.wakers === undefined) callback();
-      else this.wakers.push(gated(callback));
+      if (this.onResume === undefined) callback();
+      else this.onResume.push(gated(callback));
     };
     const after: TimerService['after'] = (ms, callback) => {
-      let isOver = false;
+      let isCancelled = false;
       const handle = timers.after(
         ms,
         gated(() => {
-          if (!isOver) callback();
+          if (!isCancelled) callback();
         }),
       );
       return {
         cancel: () => {
-          isOver = true;
+          isCancelled = true;
           handle.cancel();
         },
       };
@@ -100,18 +106,18 @@
       timers.repeat(ms, () => gated(() => callback(timers.now()))());
     const sleep: TimerService['sleep'] = async (ms, signal) => {
       await timers.sleep(ms, signal);
-      await this.running();
+      await this.whenRunning();
     };
     return { ...timers, now: timers.now, wall: timers.wall, every: timers.every, after, repeat, sleep };
   }
 
-  /** A client whose answers wait while the process is paused. */
+  /** A client whose responses are held back while the process is paused. */
   client(client: EngineClient): EngineClient {
     const gate = async <T>(promise: Promise<T>): Promise<T> => {
       try {
         return await promise;
       } finally {
-        await this.running();
+        await this.whenRunning();
       }
     };
     return {
@@ -122,34 +128,30 @@
   }
 }
 
-/** How bad the links are. */
+/** Faults of the connections between daemons. */
 export interface LinkFaults {
-  /** Share of messages that are lost, each way. */
+  /** Share of messages that are lost, in each direction. */
   lost: number;
-  /** Share of messages that come twice. */
+  /** Share of messages that are delivered twice. */
   doubled: number;
-  /** Longest delay in milliseconds; messages overtake one another. */
+  /** Longest random delay in milliseconds; messages may overtake one another. */
   delayMs: number;
 }
 
-/** Options of a bus with faults. */
 export interface FaultyBusOptions {
   readonly bus: PeerBus;
   readonly timers: ManualTimerService;
-  readonly chance: Chance;
+  readonly random: SeededRandom;
   readonly faults: LinkFaults;
-  readonly process: Process;
+  readonly process: FakeProcess;
 }
 
-/**
- * Puts faults between a daemon and its bus; calls keep their timeout whatever happens to their messages.
- * @param options - The bus, its faults and the daemon's process.
- */
+/** Injects faults between a daemon and its bus; a call still times out whatever happens to its messages. */
 export function createFaultyBus(options: FaultyBusOptions): PeerBus {
-  const { bus, timers, chance, faults, process } = options;
-  const travel = async (): Promise<boolean> => {
-    if (faults.delayMs > 0) await timers.sleep(chance.next() * faults.delayMs);
-    return chance.next() >= faults.lost;
+  const { bus, timers, random, faults, process } = options;
+  const transmit = async (): Promise<boolean> => {
+    if (faults.delayMs > 0) await timers.sleep(random.next() * faults.delayMs);
+    return random.next() >= faults.lost;
   };
   async function deliver<I, O>(
     peer: string,
@@ -157,9 +159,9 @@
     input: I,
     opts: PeerCallOptions,
   ): Promise<O> {
-    if (!(await travel())) return NEVER;
+    if (!(await transmit())) return NEVER_SETTLES;
     const output = await bus.call(peer, procedure, input, opts);
-    return (await travel()) ? output : NEVER;
+    return (await transmit()) ? output : NEVER_SETTLES;
   }
   async function call<I, O>(
     peer: string,
@@ -168,7 +170,7 @@
     opts: PeerCallOptions,
   ): Promise<O> {
     if (peer === bus.self.name) return bus.call(peer, procedure, input, opts);
-    if (chance.next() < faults.doubled) deliver(peer, procedure, input, opts).catch(() => undefined);
+    if (random.next() < faults.doubled) deliver(peer, procedure, input, opts).catch(() => undefined);
     const timeout = timers.sleep(opts.timeoutMs).then((): O => {
       throw new CeleryyokeError('PeerUnreachable', { peer });
     });
@@ -176,14 +178,14 @@
     try {
       return await Promise.race([deliver(peer, procedure, input, opts), timeout]);
     } finally {
-      await process.running();
+      await process.whenRunning();
     }
   }
   return {
     self: bus.self,
     handle: (procedure, handler) =>
       bus.handle(procedure, async (input, from) => {
-        await process.running();
+        await process.whenRunning();
         return handler(input, from);
       }),
     call,
@@ -192,7 +194,7 @@
         name: section.name,
         collect: (peer) => section.collect(peer),
         absorb: (from, data) => {
-          process.running().then(
+          process.whenRunning().then(
             () => section.absorb(from, data),
             () => undefined,
           );
--- a/packages/fleet/test/leases/loading.test.ts
+++ b/packages/fleet/test/leases/loading.test.ts
@@ -1,4 +1,7 @@
-/** Loads and engines that fail: orders that fail or get no answer, restarts, leaving engines, lost permits. */
+/**
+ * Faults of loads and engines: orders that fail or get no response, restarts, leaving engines, missing
+ * reports.
+ */
 import { SlotState } from '@celeryyoke/placement';
 import test from 'ava';
 
@@ -6,111 +9,111 @@
 import type { TestSiteOptions } from './site.js';
 import { TestSite } from './site.js';
 
-const never = new AbortController().signal;
-const FIRST = 'engine-1';
-const SECOND = 'engine-2';
+const neverAborted = new AbortController().signal;
+const FIRST_ENGINE = 'engine-1';
+const SECOND_ENGINE = 'engine-2';
 
-async function begin(options: Partial<TestSiteOptions> = {}): Promise<TestSite> {
+async function startSite(options: Partial<TestSiteOptions> = {}): Promise<TestSite> {
   const site = new TestSite({ daemons: ['a', 'b'], engines: 1, slots: 1, lagMs: 100, ...options });
   await site.run(6000);
   return site;
 }
 
-test('a load that fails partway is tried again, and the request gets its lease', async (t) => {
-  const site = await begin();
-  site.engine(FIRST).faults.push(OrderFault.Fail);
-  const asked = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+test('a load that fails is retried, and the request gets its lease', async (t) => {
+  const site = await startSite();
+  site.engine(FIRST_ENGINE).faults.push(OrderFault.Fail);
+  const pending = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(5000);
-  t.true((await asked).isValid());
-  t.deepEqual(site.engine(FIRST).loads, ['x@1']);
+  t.true((await pending).isValid());
+  t.deepEqual(site.engine(FIRST_ENGINE).loads, ['x@1']);
   await site.stop();
 });
 
-test('a load that fails is tried on another engine, and its requests go there', async (t) => {
-  const site = await begin({ engines: 2 });
-  for (const name of [FIRST, SECOND]) site.engine(name).faults.push(OrderFault.Fail);
-  const asked = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+test('a load that fails on both engines once is retried, and the request gets its lease', async (t) => {
+  const site = await startSite({ engines: 2 });
+  for (const name of [FIRST_ENGINE, SECOND_ENGINE]) site.engine(name).faults.push(OrderFault.Fail);
+  const pending = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(8000);
-  t.true((await asked).isValid());
+  t.true((await pending).isValid());
   await site.stop();
 });
 
-for (const fault of [OrderFault.LoseAnswer, OrderFault.LoseOrder]) {
-  test(`an order to load without an answer (${fault}) is settled by reports`, async (t) => {
-    const site = await begin({ times: { loadTimeoutMs: 1500, sendBoundMs: 300 } });
-    site.engine(FIRST).faults.push(fault);
-    const asked = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+for (const fault of [OrderFault.LoseResponse, OrderFault.LoseOrder]) {
+  test(`the outcome of a load order without a response (${fault}) is taken from reports`, async (t) => {
+    const site = await startSite({ times: { loadTimeoutMs: 1500, sendBoundMs: 300 } });
+    site.engine(FIRST_ENGINE).faults.push(fault);
+    const pending = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
     await site.run(1000);
     t.is(site.daemon('a').owners.owned()[0]?.slots[0]?.state, SlotState.Loading);
     await site.run(6000);
-    t.true((await asked).isValid());
-    t.deepEqual(site.engine(FIRST).loads, ['x@1']);
+    t.true((await pending).isValid());
+    t.deepEqual(site.engine(FIRST_ENGINE).loads, ['x@1']);
     await site.stop();
   });
 
-  test(`an order to unload without an answer (${fault}) is settled by reports`, async (t) => {
-    const site = await begin({ times: { unloadTimeoutMs: 500, sendBoundMs: 300 } });
-    const first = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+  test(`the outcome of an unload order without a response (${fault}) is taken from reports`, async (t) => {
+    const site = await startSite({ times: { unloadTimeoutMs: 500, sendBoundMs: 300 } });
+    const first = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
     await site.run(1000);
     (await first).release(true);
-    site.engine(FIRST).faults.push(fault);
-    const asked = site.daemon('b').dispatcher.acquire(site.want('y@1'), never);
+    site.engine(FIRST_ENGINE).faults.push(fault);
+    const pending = site.daemon('b').dispatcher.acquire(site.createRequest('y@1'), neverAborted);
     await site.run(8000);
-    t.true((await asked).isValid());
-    t.deepEqual(site.engine(FIRST).loads, ['x@1', 'y@1']);
+    t.true((await pending).isValid());
+    t.deepEqual(site.engine(FIRST_ENGINE).loads, ['x@1', 'y@1']);
     t.deepEqual(site.violations(), []);
     await site.stop();
   });
 }
 
-test('after an engine restarts empty, what waits is loaded first, and old leases start nothing there', async (t) => {
-  const site = await begin({ slots: 2 });
+test('an engine that restarts empty refuses requests under old leases and loads again', async (t) => {
+  const site = await startSite({ slots: 2 });
   const { dispatcher } = site.daemon('b');
-  const first = dispatcher.acquire(site.want('x@1'), never);
+  const first = dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(1000);
-  const held = await first;
-  site.engine(FIRST).restart();
-  t.false(site.engine(FIRST).start('late', 'x@1'));
-  held.release(true);
+  const lease = await first;
+  site.engine(FIRST_ENGINE).restart();
+  t.false(site.engine(FIRST_ENGINE).start('late', 'x@1'));
+  lease.release(true);
   await site.run(1500);
-  const again = dispatcher.acquire(site.want('x@1'), never);
+  const again = dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(1500);
   t.true((await again).isValid());
-  t.true(site.engine(FIRST).has('x@1'));
+  t.true(site.engine(FIRST_ENGINE).isReady('x@1'));
   await site.stop();
 });
 
-test('a leaving engine gets no new lease, and what waited there goes to another', async (t) => {
-  const site = await begin({ engines: 2 });
-  const first = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+test('a lease on a leaving engine becomes invalid, and new requests go to another engine', async (t) => {
+  const site = await startSite({ engines: 2 });
+  const first = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(1000);
-  const held = await first;
-  const { name } = held.engine;
-  const waits = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
-  (await waits).release(true);
-  for (const { beliefs } of site.daemons.values()) {
-    beliefs.leaving.add(name);
-    beliefs.changed();
+  const lease = await first;
+  const { name } = lease.engine;
+  const second = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
+  (await second).release(true);
+  for (const { view } of site.daemons.values()) {
+    view.leaving.add(name);
+    view.notifyListeners();
   }
-  t.false(held.isValid());
-  const next = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+  t.false(lease.isValid());
+  const next = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(2000);
   t.not((await next).engine.name, name);
   await site.stop();
 });
 
-test('an engine that gives no report gets no lease until it does', async (t) => {
-  const site = await begin();
-  site.engine(FIRST).isDown = true;
+test('no lease is granted on an engine that does not report, until it reports again', async (t) => {
+  const site = await startSite();
+  site.engine(FIRST_ENGINE).isDown = true;
   await site.run(2000);
-  const refused = site.daemon('b').dispatcher.acquire(site.want('x@1', 1000), never);
+  const refused = site.daemon('b').dispatcher.acquire(site.createRequest('x@1', 1000), neverAborted);
   const failed = t.throwsAsync(refused, { name: 'NoUpstream' });
   await site.run(1000);
   await failed;
-  site.engine(FIRST).isDown = false;
+  site.engine(FIRST_ENGINE).isDown = false;
   await site.run(1000);
-  const asked = site.daemon('b').dispatcher.acquire(site.want('x@1'), never);
+  const pending = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   await site.run(2000);
-  t.true((await asked).isValid());
+  t.true((await pending).isValid());
   await site.stop();
 });
--- a/packages/fleet/test/leases/shares.test.ts
+++ b/packages/fleet/test/leases/shares.test.ts
@@ -1,4 +1,7 @@
-/** Shares of a store's rate: whole when all hear each other, and never more than whole in a partition. */
+/**
+ * Shares of a weight store's rate: all of it is used without a partition, and never more than all of it in
+ * one.
+ */
 import test from 'ava';
 import fc from 'fast-check';
 
@@ -8,16 +11,16 @@
 
 const RATE = 4;
 const ENGINES = 4;
-const LONG_MS = 12_000;
+const RUN_MS = 12_000;
 
-/** Loads begun a second, at most, over windows of a length. */
+/** Highest number of loads begun per second over all windows of a length. */
 function worstRate(starts: readonly number[], windowMs: number): number {
   const counts = starts.map((from) => starts.filter((at) => at >= from && at < from + windowMs).length);
   return Math.max(0, ...counts) / (windowMs / 1000);
 }
 
-/** A site of four engines, two owned by each half, with the store's owner in the first half. */
-async function begin(options: Partial<TestSiteOptions> = {}): Promise<TestSite> {
+/** Starts a site of four engines, two owned by each of two daemons; the first daemon owns the store. */
+async function startSite(options: Partial<TestSiteOptions> = {}): Promise<TestSite> {
   const site = new TestSite({
     ...options,
     daemons: ['a', 'b'],
@@ -26,76 +29,76 @@
     loadMs: 50,
     loadsPerSecond: RATE,
   });
-  for (const { beliefs } of site.daemons.values()) {
-    beliefs.owners.set('engine/engine-3', 'b');
-    beliefs.owners.set('engine/engine-4', 'b');
-    beliefs.changed();
+  for (const { view } of site.daemons.values()) {
+    view.owners.set('engine/engine-3', 'b');
+    view.owners.set('engine/engine-4', 'b');
+    view.notifyListeners();
   }
   await site.run(6000);
   return site;
 }
 
-/** Asks through a daemon for ever new adapters; all of them need a load. */
-function ask(site: TestSite, daemon: string, count: number): void {
+/** Requests distinct adapters through a daemon, each of which needs a load. */
+function requestAdapters(site: TestSite, daemon: string, count: number): void {
   for (let index = 0; index < count; index += 1) {
-    const want = site.want(`${daemon}${index}@1`, 60_000);
+    const request = site.createRequest(`${daemon}${index}@1`, 60_000);
     site
       .daemon(daemon)
-      .dispatcher.acquire(want, new AbortController().signal)
+      .dispatcher.acquire(request, new AbortController().signal)
       .catch(() => undefined);
   }
 }
 
-function startedAt(site: TestSite, from: number): number[] {
+function loadStartsSince(site: TestSite, from: number): number[] {
   return [...site.engines.values()].flatMap((engine) => engine.loadStarts).filter((at) => at >= from);
 }
 
-test('the store is used at its whole rate while all hear each other', async (t) => {
-  const site = await begin();
+test('the whole rate of the store is used while all daemons are connected', async (t) => {
+  const site = await startSite();
   const from = site.timers.now();
-  ask(site, 'a', 40);
-  ask(site, 'b', 40);
-  await site.run(LONG_MS);
-  const starts = startedAt(site, from);
-  t.true(starts.length >= (RATE * LONG_MS) / 1000 - 4, `${starts.length} loads`);
+  requestAdapters(site, 'a', 40);
+  requestAdapters(site, 'b', 40);
+  await site.run(RUN_MS);
+  const starts = loadStartsSince(site, from);
+  t.true(starts.length >= (RATE * RUN_MS) / 1000 - 4, `${starts.length} loads`);
   t.true(worstRate(starts, 4000) <= RATE + 0.25);
   await site.stop();
 });
 
-test('two halves of a partition go on loading, and never overrun the store together', async (t) => {
-  const site = await begin();
+test('both sides of a partition go on loading, and never exceed the rate of the store', async (t) => {
+  const site = await startSite();
   const from = site.timers.now();
-  ask(site, 'a', 60);
-  ask(site, 'b', 60);
+  requestAdapters(site, 'a', 60);
+  requestAdapters(site, 'b', 60);
   await site.run(2000);
   site.net.cut('a', 'b');
   site.net.cut('b', 'a');
-  await site.run(LONG_MS);
+  await site.run(RUN_MS);
   const halves = [1, 2, 3, 4].map((index) => site.engine(`engine-${index}`).loadStarts.length);
   t.true(halves[0]! + halves[1]! > 0 && halves[2]! + halves[3]! > 0, halves.join(' '));
-  const cut = site.timers.now();
+  const healedAt = site.timers.now();
   site.net.mend();
-  await site.run(LONG_MS);
-  const starts = startedAt(site, from);
+  await site.run(RUN_MS);
+  const starts = loadStartsSince(site, from);
   t.true(worstRate(starts, 4000) <= RATE + 0.25, `${worstRate(starts, 4000)} loads a second`);
-  t.true(startedAt(site, cut + 4000).length > RATE * 4);
+  t.true(loadStartsSince(site, healedAt + 4000).length > RATE * 4);
   await site.stop();
 });
 
-test('a daemon that uses its share while it is lent overruns the store', async (t) => {
-  const site = await begin({ permitTimesOf: { b: { shareMs: 0 } } });
+test('a daemon that uses its share while it is lent exceeds the rate of the store', async (t) => {
+  const site = await startSite({ permitTimesOf: { b: { shareMs: 0 } } });
   const from = site.timers.now();
-  ask(site, 'a', 60);
-  ask(site, 'b', 60);
+  requestAdapters(site, 'a', 60);
+  requestAdapters(site, 'b', 60);
   await site.run(4000);
   site.net.cut('a', 'b');
   site.net.cut('b', 'a');
   await site.run(6000);
-  t.true(worstRate(startedAt(site, from), 2000) > RATE + 0.5);
+  t.true(worstRate(loadStartsSince(site, from), 2000) > RATE + 0.5);
   await site.stop();
 });
 
-test('time slots of engines never overlap, however clocks are off within their bound', (t) => {
+test('time slots of engines never overlap while clock errors stay within their bound', (t) => {
   const clockErrorMs = 20;
   const shares = new StoreShares({ loadsPerSecond: RATE, engines: ['e1', 'e2', 'e3'], clockErrorMs });
   const error = fc.integer({ min: -clockErrorMs / 2, max: clockErrorMs / 2 });
--- a/packages/fleet/test/leases/site.ts
+++ b/packages/fleet/test/leases/site.ts
@@ -1,4 +1,7 @@
-/** A site of small fakes: hosts and ownership set by hand, engines that check for themselves. */
+/**
+ * A test site: real owners, dispatchers and permits on fake engines, with a fake view of hosts and ownership
+ * that the test sets. The engines detect violations.
+ */
 import type { ManualTimerService } from '@celeryyoke/core';
 import { createAuditTrail, createManualTimers, createMetrics, createSilentLog } from '@celeryyoke/core';
 import type { ConfigHolder, EngineConfig, ResolvedAdapter, SiteConfig } from '@celeryyoke/configuration';
@@ -26,12 +29,12 @@
 } from '../../src/index.js';
 import { FakeEngine } from './fakeEngine.js';
 import type { LinkFaults } from './faults.js';
-import { Chance, createFaultyBus, Process } from './faults.js';
+import { createFaultyBus, FakeProcess, SeededRandom } from './faults.js';
 
-/** Orders of the process before may arrive so long after a restart. */
-const RESTART_MS = 2000;
+/** Bound on the time after a restart in which orders of the previous process may still arrive. */
+const RESTART_ORDER_BOUND_MS = 2000;
 
-/** What a site is made of. */
+/** Size, times and faults of a site. */
 export interface TestSiteOptions {
   readonly daemons: readonly string[];
   readonly engines: number;
@@ -43,41 +46,41 @@
   readonly unloadMs?: number;
   readonly fencing?: boolean;
   readonly times?: Partial<LeaseTimes>;
-  /** Times of one daemon where they differ. */
+  /** Times that differ for one daemon, by its name. */
   readonly timesOf?: Readonly<Record<string, Partial<LeaseTimes>>>;
-  /** Times of one daemon's permits where they differ. */
+  /** Permit times that differ for one daemon, by its name. */
   readonly permitTimesOf?: Readonly<Record<string, Partial<PermitTimes>>>;
-  /** Faults of all links; they may be changed while the site runs. */
+  /** Faults of all connections; they may be changed while the site runs. */
   readonly faults?: LinkFaults;
   readonly seed?: number;
 }
 
-/** What a daemon believes of hosts and ownership, set by the test. */
-export class Beliefs {
+/** One daemon's view of hosts and ownership, set by the test; stands in for membership and ownership. */
+export class ClusterView {
   readonly owners = new Map<string, string>();
 
   readonly leaving = new Set<string>();
 
   isDoubtful = false;
 
-  /** When the last change of ownership lets this daemon act; Waiting before. */
-  fullAt = -Infinity;
+  /** When this daemon, as the owner, gets full authority; until then its authority is `Waiting`. */
+  fullAuthorityAt = -Infinity;
 
-  /** Whether it holds itself for the owner whatever happens. */
-  isStubborn = false;
+  /** Whether it claims full authority whoever the owner is. */
+  ignoresOwnership = false;
 
-  /** Whether engines have to be shown its fencing number before it acts. */
-  claims = false;
+  /** Whether it must present its fencing token to engines. */
+  requiresClaim = false;
 
-  /** When its authority ends though it has not heard of another owner. */
-  endsAt = Infinity;
+  /** When its authority expires although it does not know of another owner. */
+  authorityEndsAt = Infinity;
 
   private readonly listeners = new Set<() => void>();
 
-  private latest = 0;
+  private latestFencing = 0;
 
-  /** For each engine, the fencing number that it showed first. */
-  private readonly shown = new Map<string, number>();
+  /** For each engine, the fencing token that it reported first. */
+  private readonly firstFencing = new Map<string, number>();
 
   constructor(
     readonly name: string,
@@ -98,25 +101,25 @@
   readonly ownership: Ownership = {
     ownerOf: (resource) => this.owners.get(resource),
     authority: (resource) => this.authority(resource),
-    fencing: (resource) => (this.shown.get(resource) ?? 0) + 1,
+    fencing: (resource) => (this.firstFencing.get(resource) ?? 0) + 1,
     observeFencing: (resource, fencing) => {
-      if (!this.shown.has(resource)) this.shown.set(resource, fencing);
-      this.latest = fencing;
+      if (!this.firstFencing.has(resource)) this.firstFencing.set(resource, fencing);
+      this.latestFencing = fencing;
     },
     mayGrant: (resource) => this.authority(resource) === Authority.Full,
-    needsClaim: (resource) => this.claims && this.latest <= (this.shown.get(resource) ?? 0),
+    needsClaim: (resource) =>
+      this.requiresClaim && this.latestFencing <= (this.firstFencing.get(resource) ?? 0),
     orderBegan: () => () => undefined,
     subscribe: (listener) => this.subscribe(() => listener('', Authority.None)),
   };
 
-  /** Believes what another daemon believes of owners; that one may be newer in its own doubts. */
-  follow(other: Beliefs): void {
+  /** Copies the owners, but not the authority times, from another daemon's view. */
+  copyOwners(other: ClusterView): void {
     for (const [resource, owner] of other.owners) this.owners.set(resource, owner);
-    this.changed();
+    this.notifyListeners();
   }
 
-  /** Tells subscribers that something has changed. */
-  changed(): void {
+  notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 
@@ -126,19 +129,19 @@
   }
 
   private authority(resource: string): Authority {
-    if (this.isStubborn) return Authority.Full;
+    if (this.ignoresOwnership) return Authority.Full;
     const now = this.timers.now();
-    if (this.owners.get(resource) !== this.name || now >= this.endsAt) return Authority.None;
-    return now >= this.fullAt ? Authority.Full : Authority.Waiting;
+    if (this.owners.get(resource) !== this.name || now >= this.authorityEndsAt) return Authority.None;
+    return now >= this.fullAuthorityAt ? Authority.Full : Authority.Waiting;
   }
 }
 
-/** One daemon's parts. */
+/** The parts of one daemon. */
 export interface TestDaemon {
   readonly name: string;
   readonly incarnation: number;
-  readonly beliefs: Beliefs;
-  readonly process: Process;
+  readonly view: ClusterView;
+  readonly process: FakeProcess;
   readonly policy: PlacementPolicy;
   readonly dispatcher: RunningDispatcher;
   readonly owners: EngineOwners;
@@ -147,13 +150,13 @@
   stop(): Promise<void>;
 }
 
-/** The adapter of a key `name@version`. */
+/** Resolves a key of the form `name@version`. */
 export function adapter(key: string): ResolvedAdapter {
   const [name = '', version = ''] = key.split('@');
   return { adapter: name, version, model: 'base', key, sizeMb: 1 };
 }
 
-function holder(config: SiteConfig): ConfigHolder {
+function fixedConfig(config: SiteConfig): ConfigHolder {
   const engine = (name: string): EngineConfig | undefined => config.engines.find((e) => e.name === name);
   const snapshot = { revision: 1, digest: '', config, engine } as ReturnType<ConfigHolder['require']>;
   return {
@@ -164,7 +167,7 @@
   };
 }
 
-/** A site with its daemons and engines. */
+/** A site with its daemons and engines, on manual timers and an in-memory peer network. */
 export class TestSite {
   readonly timers = createManualTimers();
 
@@ -176,13 +179,13 @@
 
   private readonly config: ConfigHolder;
 
-  readonly chance: Chance;
+  readonly random: SeededRandom;
 
-  private requests = 0;
+  private lastRequestNumber = 0;
 
   constructor(readonly options: TestSiteOptions) {
     const { slots, lagMs = 0, loadMs = 500, unloadMs = 5, fencing = false } = options;
-    this.chance = new Chance(options.seed ?? 1);
+    this.random = new SeededRandom(options.seed ?? 1);
     const names = Array.from({ length: options.engines }, (_, index) => `engine-${index + 1}`);
     for (const name of names) {
       this.engines.set(
@@ -203,24 +206,30 @@
     }));
     const stores = [{ name: 'store-1', address: '', loadsPerSecond, concurrentLoads: 1 }];
     const policy = { maxLoadWaitMs: options.maxLoadWaitMs ?? Infinity };
-    this.config = holder({ engines, stores, policy, events: [] } as unknown as SiteConfig);
+    this.config = fixedConfig({ engines, stores, policy, events: [] } as unknown as SiteConfig);
     for (const name of options.daemons) this.addDaemon(name, 1);
-    this.own(options.daemons[0]!);
+    this.setOwner(options.daemons[0]!);
     for (const daemon of this.daemons.values()) daemon.start();
   }
 
-  /** Adds a daemon, or replaces one that has crashed. */
+  /** Adds a daemon, or replaces a crashed one of the same name. */
   addDaemon(name: string, incarnation: number): TestDaemon {
     const { config } = this;
     const { faults = { lost: 0, doubled: 0, delayMs: 0 }, timesOf } = this.options;
     const times = { ...this.options.times, ...timesOf?.[name] };
-    const process = new Process(this.timers);
-    const joined = this.net.join({ name, incarnation });
-    const bus = createFaultyBus({ bus: joined, timers: this.timers, chance: this.chance, faults, process });
-    const timers = process.service();
-    const beliefs = new Beliefs(name, this.timers);
+    const process = new FakeProcess(this.timers);
+    const directBus = this.net.join({ name, incarnation });
+    const bus = createFaultyBus({
+      bus: directBus,
+      timers: this.timers,
+      random: this.random,
+      faults,
+      process,
+    });
+    const timers = process.timerService();
+    const view = new ClusterView(name, this.timers);
     const policy = createPolicy({ stallWeight: 1, maxLoadWaitMs: 10_000 });
-    const { membership, ownership } = beliefs;
+    const { membership, ownership } = view;
     const log = createSilentLog();
     const metrics = createMetrics();
     const audit = createAuditTrail({ daemon: name, timers });
@@ -240,44 +249,51 @@
       dispatcher.stop();
       await Promise.all([owners.stop(), permits.stop()]);
     };
-    const daemon = { name, incarnation, beliefs, process, policy, dispatcher, owners, permits, start, stop };
+    const daemon = { name, incarnation, view, process, policy, dispatcher, owners, permits, start, stop };
     this.daemons.set(name, daemon);
     return daemon;
   }
 
-  /** Makes one daemon the owner of everything, in the eyes of all or of some. */
-  own(owner: string, fullAt = -Infinity, eyes: readonly string[] = [...this.daemons.keys()]): void {
-    for (const eye of eyes) {
-      const { beliefs, process } = this.daemon(eye);
-      const learn = (): void => {
-        for (const name of this.engines.keys()) beliefs.owners.set(`engine/${name}`, owner);
-        beliefs.owners.set('store/store-1', owner);
-        beliefs.fullAt = fullAt;
-        beliefs.endsAt = Infinity;
-        beliefs.changed();
+  /** Makes one daemon the owner of all engines and the store, in the views of all or of some daemons. */
+  setOwner(
+    owner: string,
+    fullAuthorityAt = -Infinity,
+    observers: readonly string[] = [...this.daemons.keys()],
+  ): void {
+    for (const observer of observers) {
+      const { view, process } = this.daemon(observer);
+      const applyOwner = (): void => {
+        for (const name of this.engines.keys()) view.owners.set(`engine/${name}`, owner);
+        view.owners.set('store/store-1', owner);
+        view.fullAuthorityAt = fullAuthorityAt;
+        view.authorityEndsAt = Infinity;
+        view.notifyListeners();
       };
-      // A process that is paused learns of it when it is woken.
-      if (process.isPaused) void process.running().then(learn);
-      else learn();
+      // A paused process applies the change when it is resumed.
+      if (process.isPaused) void process.whenRunning().then(applyOwner);
+      else applyOwner();
     }
   }
 
-  /** Lets a daemon learn what another one believes of owners. */
-  follow(name: string, other: string): void {
-    const { beliefs, process } = this.daemon(name);
-    void process.running().then(() => beliefs.follow(this.daemon(other).beliefs));
+  /** Copies the owners in another daemon's view to a daemon, once it is not paused. */
+  copyOwners(name: string, other: string): void {
+    const { view, process } = this.daemon(name);
+    void process.whenRunning().then(() => view.copyOwners(this.daemon(other).view));
   }
 
-  /** Crashes a daemon; another process of the same name takes its place. */
+  /** Crashes a daemon and starts a new incarnation of it. */
   restartDaemon(name: string): void {
-    const { process, beliefs, incarnation, ...old } = this.daemon(name);
+    const { process, view, incarnation, ...oldParts } = this.daemon(name);
     process.isDead = true;
-    void old.stop();
-    const next = this.addDaemon(name, incarnation + 1);
-    next.beliefs.follow(beliefs);
-    next.beliefs.fullAt = Math.max(beliefs.fullAt, this.timers.now() + RESTART_MS);
-    next.beliefs.endsAt = beliefs.endsAt;
-    next.start();
+    void oldParts.stop();
+    const replacement = this.addDaemon(name, incarnation + 1);
+    replacement.view.copyOwners(view);
+    replacement.view.fullAuthorityAt = Math.max(
+      view.fullAuthorityAt,
+      this.timers.now() + RESTART_ORDER_BOUND_MS,
+    );
+    replacement.view.authorityEndsAt = view.authorityEndsAt;
+    replacement.start();
   }
 
   engine(name: string): FakeEngine {
@@ -288,15 +304,15 @@
     return this.daemons.get(name)!;
   }
 
-  /** Makes a request for a key. */
-  want(key: string, waitMs = 20_000): DispatchWant {
-    this.requests += 1;
+  /** Creates a request for an adapter key. */
+  createRequest(key: string, waitMs = 20_000): DispatchWant {
+    this.lastRequestNumber += 1;
     const deadlineAt = this.timers.now() + waitMs;
-    const requestId = `r${this.requests}`;
+    const requestId = `r${this.lastRequestNumber}`;
     return { requestId, adapter: adapter(key), priority: 0, deadlineAt, excluded: new Set() };
   }
 
-  /** Moves time on, with heartbeats. */
+  /** Advances the time, with heartbeats every 50 ms. */
   async run(ms: number): Promise<void> {
     const stepMs = 50;
     for (let done = 0; done < ms; done += stepMs) {
