--- a/packages/fleet/src/core/engines/drain.ts
+++ b/packages/fleet/src/core/engines/drain.ts
@@ -11,7 +11,7 @@
   readonly policy: PlacementPolicy;
   /** Returns how long a load may wait for a slot before one is drained, in milliseconds. */
   readonly afterMs: () => number;
-  /** Tells the holders of leases on a key to start no more requests under them. */
+  /** Recalls the leases on a key, so that their holders start no more requests under them. */
   readonly recall: (key: AdapterKey) => void;
 }
 
--- a/packages/fleet/src/core/engines/events.ts
+++ b/packages/fleet/src/core/engines/events.ts
@@ -35,7 +35,7 @@
   wants(engine: string): readonly LoadWant[];
 }
 
-/** Returns a text, one line per entry, that differs whenever the plan does. */
+/** Returns the plan as text, one line per entry, to detect changes. */
 function describePlan({ loads, unplaced }: EventPlan): string {
   const placed = loads.map(({ event, key, engine, loadAtMs }) => `${event} ${key} ${engine} ${loadAtMs}`);
   return [...placed, ...unplaced.map(({ event, key, reason }) => `${event} ${key} ${reason}`)].join('\n');
--- a/packages/fleet/src/core/engines/ledger.ts
+++ b/packages/fleet/src/core/engines/ledger.ts
@@ -1,8 +1,9 @@
 /**
  * Ledger of the slot leases that an owner has granted on one engine, and of the keys on which requests may
  * still run although no known lease covers them. Such a key stays protected until a report of the engine
- * shows it idle. While either holds for a key, the ledger holds its slot in the slot table, which then never
- * evicts it.
+ * shows it idle. While a key is protected, or requests run under a lease on it, the ledger holds its slot in
+ * the slot table, which then never chooses the slot to be freed. The slot of an idle lease may be chosen; the
+ * lease is recalled first.
  */
 import type { SlotTable } from '@celeryyoke/placement';
 import { SlotState } from '@celeryyoke/placement';
@@ -37,7 +38,7 @@
 }
 
 function idleReportId(key: string): string {
-  return `doubt ${key}`;
+  return `idle report ${key}`;
 }
 
 /** Leases on one engine, and the keys that must be shown idle by a report. */
@@ -218,7 +219,7 @@
     this.options.table.release(leaseId(entry.holder, entry.incarnation, entry.key), now);
   }
 
-  /** Holds the slot of a key in the slot table under an id, or releases it. */
+  /** Holds the slot of a ready key in the slot table under an id, or releases it. */
   private setSlotHold(id: string, key: string, isHeld: boolean, now: number): void {
     const { table } = this.options;
     if (!isHeld) {
--- a/packages/fleet/src/core/engines/owner.ts
+++ b/packages/fleet/src/core/engines/owner.ts
@@ -251,7 +251,7 @@
   }
 
   /**
-   * Tells the holders of leases on a key to start no more requests under them, and to end those that are
+   * Recalls the leases on a key: their holders start no more requests under them, and end those that are
    * idle.
    */
   private drainLeases(key: AdapterKey): void {
--- a/packages/fleet/src/core/engines/owners.ts
+++ b/packages/fleet/src/core/engines/owners.ts
@@ -14,9 +14,9 @@
   LeaseOutcome,
 } from '../leases/index.js';
 import type { PeerIdentity } from '../peers/index.js';
-import { engineResource } from './orders.js';
 import type { EventSchedule } from './events.js';
 import { createEventSchedule } from './events.js';
+import { engineResource } from './orders.js';
 import { EngineOwner } from './owner.js';
 import type { EngineOwners, EngineOwnersOptions, OwnedEngine } from './types.js';
 import { refusal } from './waiting-requests.js';
--- a/packages/fleet/src/core/engines/types.ts
+++ b/packages/fleet/src/core/engines/types.ts
@@ -28,7 +28,7 @@
   readonly permits: PermitDesk;
   /** Where owners publish the state of their engines. */
   readonly site: SiteBook;
-  /** Returns the client of an engine; the caller of `createEngineOwners` closes it. */
+  /** Returns the client of an engine; the owners do not close it. */
   readonly clients: (engine: EngineConfig) => EngineClient;
   readonly times?: Partial<LeaseTimes> | undefined;
 }
--- a/packages/fleet/src/core/engines/waiting-requests.ts
+++ b/packages/fleet/src/core/engines/waiting-requests.ts
@@ -1,7 +1,7 @@
 /** Lease requests that wait at an engine's owner for an adapter to be loaded. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
-import type { LeaseResponse, LeaseRequest } from '../leases/index.js';
+import type { LeaseRequest, LeaseResponse } from '../leases/index.js';
 import { LeaseOutcome } from '../leases/index.js';
 import type { PeerIdentity } from '../peers/index.js';
 
@@ -21,7 +21,7 @@
   /** Monotonic milliseconds when the latest message arrived. */
   receivedAt: number;
   /** Responds to the latest message; undefined when it has been responded to. */
-  resolve: ((answer: LeaseResponse) => void) | undefined;
+  resolve: ((response: LeaseResponse) => void) | undefined;
   /** Ends the wait for a grant, or after a response the wait for the next message. */
   timer: TimerHandle | undefined;
 }
--- a/packages/fleet/src/core/leases/local-leases.ts
+++ b/packages/fleet/src/core/leases/local-leases.ts
@@ -1,7 +1,7 @@
 /**
  * The slot leases that this daemon holds. A lease covers an adapter on an engine, not one request: while it
- * is valid, requests for the adapter start without a message to the owner, and the owner does not evict the
- * adapter.
+ * is valid, requests for the adapter start without a message to the owner, and the owner recalls it before it
+ * evicts the adapter.
  */
 import type { EndedLease, EngineRenewal, LeaseRecallResponse } from './messages.js';
 
--- a/packages/fleet/src/core/leases/site.ts
+++ b/packages/fleet/src/core/leases/site.ts
@@ -126,7 +126,7 @@
   /** Models with a live, healthy engine whose owner can't grant leases yet. */
   private readonly modelsWithPendingOwner = new Set<string>();
 
-  private hasGrantingOwner = false;
+  private hasSeenGranting = false;
 
   /** States of the engines that this daemon owns. */
   readonly ownStates = new Map<string, EngineState>();
@@ -159,7 +159,7 @@
     if (entry === undefined) return;
     const wasGranting = entry.healthy && entry.granting;
     const isGranting = state.healthy && state.granting;
-    this.hasGrantingOwner ||= isGranting;
+    this.hasSeenGranting ||= isGranting;
     if (entry.keys !== state.keys) this.reindex(entry, state.keys);
     entry.apply(state);
     if (isGranting !== wasGranting) this.rebuild();
@@ -174,7 +174,7 @@
   }
 
   hasServed(): boolean {
-    return this.hasGrantingOwner;
+    return this.hasSeenGranting;
   }
 
   addRunning(engine: string, change: number): void {
--- a/packages/fleet/src/core/leases/types.ts
+++ b/packages/fleet/src/core/leases/types.ts
@@ -63,7 +63,7 @@
   readonly callTimeoutMs: number;
   /** Interval at which an owner polls its engines' reports. */
   readonly reportMs: number;
-  /** Bound on the age of a report's content beyond what the engine can state. */
+  /** Bound on the age of a report's content that the engine itself does not know of. */
   readonly reportLagMs: number;
   /** Timeout of a load order. */
   readonly loadTimeoutMs: number;
