--- a/packages/bench/src/cli/leases/index.ts
+++ b/packages/bench/src/cli/leases/index.ts
@@ -2,7 +2,7 @@
 import { splitAdapterKey } from '@celeryyoke/configuration';
 import { createSystemTimers } from '@celeryyoke/core';
 import type { Metrics, TimerService } from '@celeryyoke/core';
-import type { Ownership, PeerBus, RunningDispatcher, SiteBook } from '@celeryyoke/fleet';
+import type { Ownership, PeerBus, RunningDispatcher, SiteState } from '@celeryyoke/fleet';
 import { engineResource, LEASE_REQUEST, LeaseOutcome } from '@celeryyoke/fleet';
 import { build } from 'hdr-histogram-js';
 
@@ -128,7 +128,9 @@
   const site = { engines: 2, slots: 4, loadsPerSecond: 10 };
   const fleet = await createFleet({ timers, daemons: 2, site, settings: SETTINGS });
   const daemons = [...fleet.daemons.values()];
-  await until(timers, () => daemons.every(({ daemon }) => daemon.part<SiteBook>('site').hasServed()));
+  await until(timers, () =>
+    daemons.every(({ daemon }) => daemon.part<SiteState>('site').hasSeenGrantingOwner()),
+  );
   const engine = await holdAdapter(daemons[0]!, 'first');
   const ownership = daemons[0]!.daemon.part<Ownership>('ownership');
   const owner = ownership.ownerOf(engineResource(engine))!;
--- a/packages/daemon/src/core/daemon/services/loading.ts
+++ b/packages/daemon/src/core/daemon/services/loading.ts
@@ -2,8 +2,8 @@
 import type { ConfigHolder, PolicyConfig } from '@celeryyoke/configuration';
 import { splitAdapterKey } from '@celeryyoke/configuration';
 import type { AuditTrail, Metrics, Service } from '@celeryyoke/core';
-import type { Membership, Ownership, PeerBus, PermitOwners, SiteBook } from '@celeryyoke/fleet';
-import { createDispatcher, createEngineOwners, createPermitOwners, createSiteBook } from '@celeryyoke/fleet';
+import type { Membership, Ownership, PeerBus, PermitOwners, SiteState } from '@celeryyoke/fleet';
+import { createDispatcher, createEngineOwners, createPermitOwners, createSiteState } from '@celeryyoke/fleet';
 import type { AdapterKey, PlacementPolicy, PolicyOptions } from '@celeryyoke/placement';
 import { createPolicy } from '@celeryyoke/placement';
 
@@ -50,12 +50,12 @@
   };
 }
 
-function siteService(): Service<SiteBook> {
+function siteService(): Service<SiteState> {
   return {
     name: Part.Site,
     needs: [Part.Bus, Part.Config, Part.Membership],
     start: (kernel) =>
-      createSiteBook({
+      createSiteState({
         bus: kernel.get<PeerBus>(Part.Bus),
         config: kernel.get<ConfigHolder>(Part.Config),
         membership: kernel.get<Membership>(Part.Membership),
@@ -75,7 +75,7 @@
         config: kernel.get<ConfigHolder>(Part.Config),
         ownership: kernel.get<Ownership>(Part.Ownership),
         policy: kernel.get<PlacementPolicy>(Part.Policy),
-        site: kernel.get<SiteBook>(Part.Site),
+        site: kernel.get<SiteState>(Part.Site),
       }),
   );
 }
@@ -98,7 +98,7 @@
         ownership: kernel.get<Ownership>(Part.Ownership),
         policy: kernel.get<PlacementPolicy>(Part.Policy),
         permits: kernel.get<PermitOwners>(Part.Permits).desk,
-        site: kernel.get<SiteBook>(Part.Site),
+        site: kernel.get<SiteState>(Part.Site),
         clients: kernel.get<EngineClients>(Part.Clients).of,
         times: {
           reportMs: settings.reportPollMs,
@@ -130,7 +130,7 @@
       membership: kernel.get<Membership>(Part.Membership),
       ownership: kernel.get<Ownership>(Part.Ownership),
       policy: kernel.get<PlacementPolicy>(Part.Policy),
-      site: kernel.get<SiteBook>(Part.Site),
+      site: kernel.get<SiteState>(Part.Site),
       times: { clockDrift: settings.clockDriftShare, renewMs: settings.heartbeatMs },
     }),
   );
--- a/packages/daemon/src/core/daemon/services/operators.ts
+++ b/packages/daemon/src/core/daemon/services/operators.ts
@@ -48,7 +48,7 @@
   board.add({
     name: 'engines',
     collect: () =>
-      owners.owned().map((engine) => ({
+      owners.ownedEngines().map((engine) => ({
         ...engine,
         slots: engine.slots.map((slot) => `${slot.key}:${slot.state}:${slot.running}`),
       })),
--- a/packages/daemon/src/core/daemon/services/readiness.ts
+++ b/packages/daemon/src/core/daemon/services/readiness.ts
@@ -1,7 +1,7 @@
 /** Whether a daemon may get requests. */
 import type { ConfigHolder } from '@celeryyoke/configuration';
 import type { Service } from '@celeryyoke/core';
-import type { ManagedMembership, SiteBook } from '@celeryyoke/fleet';
+import type { ManagedMembership, SiteState } from '@celeryyoke/fleet';
 import { HostRole } from '@celeryyoke/platform';
 
 import { Part } from '../names.js';
@@ -15,7 +15,7 @@
   readonly self: string;
   readonly holder: ConfigHolder;
   readonly membership: ManagedMembership;
-  readonly site: SiteBook;
+  readonly site: SiteState;
 }
 
 /** Later outages do not make a daemon unready that has been ready: all of them would be at once. */
@@ -28,7 +28,8 @@
     wasListed ||= membership.host(self) !== undefined;
     // Before the list names it, peers divide no limits and no keys to this daemon.
     if (!wasListed) return 'this host is not on the host list yet';
-    if (config.engines.length > 0 && !site.hasServed()) return 'no engine has an owner that gives leases yet';
+    if (config.engines.length > 0 && !site.hasSeenGrantingOwner())
+      return 'no engine has an owner that gives leases yet';
     return undefined;
   };
 }
@@ -48,7 +49,7 @@
         self: options.settings.hostName,
         holder: kernel.get<ConfigHolder>(Part.Config),
         membership: kernel.get<ManagedMembership>(Part.Membership),
-        site: kernel.get<SiteBook>(Part.Site),
+        site: kernel.get<SiteState>(Part.Site),
       });
       return () => (isDraining() ? 'draining' : readiness());
     },
--- a/packages/fleet/src/core/engines/events.ts
+++ b/packages/fleet/src/core/engines/events.ts
@@ -9,7 +9,7 @@
 import { eventWants, planEvents, reservedKeys } from '@celeryyoke/placement';
 import { HostRole } from '@celeryyoke/platform';
 
-import type { SiteBook } from '../leases/index.js';
+import type { SiteState } from '../leases/index.js';
 import type { Membership } from '../membership/index.js';
 
 const EMPTY_PLAN: EventPlan = { loads: [], unplaced: [] };
@@ -19,7 +19,7 @@
 export interface EventScheduleOptions {
   readonly config: ConfigHolder;
   readonly membership: Membership;
-  readonly site: SiteBook;
+  readonly site: SiteState;
   readonly timers: TimerService;
   readonly audit: AuditTrail;
   readonly log: Log;
--- a/packages/fleet/src/core/engines/orders.ts
+++ b/packages/fleet/src/core/engines/orders.ts
@@ -16,7 +16,7 @@
 };
 
 /** Whether the authority that is held allows what needs another. */
-export function isEnough(held: Authority, needed: Authority): boolean {
+export function isSufficient(held: Authority, needed: Authority): boolean {
   return AUTHORITY_RANKS[held] >= AUTHORITY_RANKS[needed];
 }
 
@@ -47,7 +47,7 @@
   /** Whether this daemon has the authority that an order needs at this moment. */
   isAllowed(needed: Authority): boolean {
     const { engine, ownership } = this.options;
-    return isEnough(ownership.authority(engineResource(engine)), needed);
+    return isSufficient(ownership.authority(engineResource(engine)), needed);
   }
 
   /**
--- a/packages/fleet/src/core/engines/owners.ts
+++ b/packages/fleet/src/core/engines/owners.ts
@@ -69,7 +69,7 @@
     await Promise.all(this.stopping);
   }
 
-  owned(): readonly OwnedEngine[] {
+  ownedEngines(): readonly OwnedEngine[] {
     return [...this.owners.values()].map(({ owner }) => owner.status());
   }
 
--- a/packages/fleet/src/core/engines/types.ts
+++ b/packages/fleet/src/core/engines/types.ts
@@ -7,7 +7,7 @@
 import type { PlacementPolicy, SlotView } from '@celeryyoke/placement';
 import type { EngineClient } from '@celeryyoke/platform';
 
-import type { LeaseTimes, SiteBook } from '../leases/index.js';
+import type { LeaseTimes, SiteState } from '../leases/index.js';
 import type { Membership } from '../membership/index.js';
 import type { Authority, Ownership } from '../ownership/index.js';
 import type { PeerBus } from '../peers/index.js';
@@ -27,7 +27,7 @@
   /** Requests load permits from the owner of the engine's weight store. */
   readonly permits: PermitDesk;
   /** Where owners publish the state of their engines. */
-  readonly site: SiteBook;
+  readonly site: SiteState;
   /** Returns the client of an engine; the owners do not close it. */
   readonly clients: (engine: EngineConfig) => EngineClient;
   readonly times?: Partial<LeaseTimes> | undefined;
@@ -54,5 +54,5 @@
   /** Stops all owners; waiting lease requests are refused. */
   stop(): Promise<void>;
   /** State of the engines that this daemon owns at this moment. */
-  owned(): readonly OwnedEngine[];
+  ownedEngines(): readonly OwnedEngine[];
 }
--- a/packages/fleet/src/core/leases/dispatcher.ts
+++ b/packages/fleet/src/core/leases/dispatcher.ts
@@ -18,8 +18,8 @@
 import { LEASE_CANCEL, LEASE_REQUEST, LeaseOutcome } from './messages.js';
 import { PopularityExchange } from './popularity.js';
 import { EngineSearch } from './search.js';
-import type { SiteBook } from './site.js';
-import type { Dispatcher, DispatchGrant, DispatchWant, LeaseTimes } from './types.js';
+import type { SiteState } from './site.js';
+import type { Dispatcher, DispatchGrant, DispatchRequest, LeaseTimes } from './types.js';
 import { DEFAULT_LEASE_TIMES } from './types.js';
 
 /** Dependencies and settings of the dispatcher. */
@@ -32,7 +32,7 @@
   readonly membership: Membership;
   readonly ownership: Ownership;
   readonly policy: PlacementPolicy;
-  readonly site: SiteBook;
+  readonly site: SiteState;
   readonly times?: Partial<LeaseTimes> | undefined;
 }
 
@@ -97,7 +97,7 @@
     this.renewer.stop();
   }
 
-  async acquire(request: DispatchWant, signal: AbortSignal): Promise<DispatchGrant> {
+  async acquire(request: DispatchRequest, signal: AbortSignal): Promise<DispatchGrant> {
     signal.throwIfAborted();
     const { timers } = this.options;
     const startedAt = timers.now();
--- a/packages/fleet/src/core/leases/index.ts
+++ b/packages/fleet/src/core/leases/index.ts
@@ -5,7 +5,7 @@
 export type { DispatcherOptions, RunningDispatcher } from './dispatcher.js';
 export { createDispatcher } from './dispatcher.js';
 export * from './messages.js';
-export type { EngineState, SiteBook, SiteStateOptions } from './site.js';
-export { createSiteBook } from './site.js';
-export type { DispatchGrant, DispatchWant, Dispatcher, LeaseTimes } from './types.js';
+export type { EngineState, SiteState, SiteStateOptions } from './site.js';
+export { createSiteState } from './site.js';
+export type { DispatchGrant, DispatchRequest, Dispatcher, LeaseTimes } from './types.js';
 export { DEFAULT_LEASE_TIMES } from './types.js';
--- a/packages/fleet/src/core/leases/search.ts
+++ b/packages/fleet/src/core/leases/search.ts
@@ -1,7 +1,7 @@
 /** State of one request's search for an engine. */
 import type { LeaseResponse } from './messages.js';
 import { LeaseOutcome } from './messages.js';
-import type { DispatchWant } from './types.js';
+import type { DispatchRequest } from './types.js';
 
 /** Tracks which engines a request has tried and where it waits. */
 export class EngineSearch {
@@ -18,7 +18,7 @@
   hasWaitedForLoad = false;
 
   constructor(
-    readonly request: DispatchWant,
+    readonly request: DispatchRequest,
     readonly signal: AbortSignal,
     readonly startedAt: number,
     /** Monotonic milliseconds when the search ends without a lease. */
--- a/packages/fleet/src/core/leases/site.ts
+++ b/packages/fleet/src/core/leases/site.ts
@@ -29,7 +29,7 @@
 }
 
 /** State of all engines, for routing and readiness. */
-export interface SiteBook extends SiteView {
+export interface SiteState extends SiteView {
   /** Sets the state of an engine that this daemon owns, and publishes it to the peers. */
   publish(state: EngineState): void;
   /** Merges a state that a peer published. */
@@ -39,7 +39,7 @@
   /** Whether a model has a live, healthy engine whose owner can't grant leases yet. */
   isOwnerPending(model: string): boolean;
   /** Whether any healthy engine's owner has been able to grant leases since this process started. */
-  hasServed(): boolean;
+  hasSeenGrantingOwner(): boolean;
   /** Counts a request that this daemon has started (1) or ended (-1) on an engine. */
   addRunning(engine: string, change: number): void;
 }
@@ -116,7 +116,7 @@
  * Site state with indexes by model and by adapter key; updated when the configuration, the hosts or a state
  * change.
  */
-class SiteIndex implements SiteBook {
+class SiteIndex implements SiteState {
   private readonly entries = new Map<string, EngineEntry>();
 
   private readonly byModel = new Map<string, EngineEntry[]>();
@@ -173,7 +173,7 @@
     return this.modelsWithPendingOwner.has(model);
   }
 
-  hasServed(): boolean {
+  hasSeenGrantingOwner(): boolean {
     return this.hasSeenGranting;
   }
 
@@ -235,7 +235,7 @@
 }
 
 /** Creates the site state and adds its section to the heartbeat. */
-export function createSiteBook(options: SiteStateOptions): SiteBook {
+export function createSiteState(options: SiteStateOptions): SiteState {
   const site = new SiteIndex(options);
   options.bus.contribute(createSiteSection(site.ownStates, (state) => site.merge(state)));
   return site;
--- a/packages/fleet/src/core/leases/types.ts
+++ b/packages/fleet/src/core/leases/types.ts
@@ -5,7 +5,7 @@
 import type { EngineConfig, ResolvedAdapter } from '@celeryyoke/configuration';
 
 /** A request that needs an engine. */
-export interface DispatchWant {
+export interface DispatchRequest {
   readonly requestId: string;
   readonly adapter: ResolvedAdapter;
   /** Higher goes first. */
@@ -44,7 +44,7 @@
    * @param signal - Cancels the wait.
    * @throws CeleryyokeError with a not-run code when no engine grants a lease.
    */
-  acquire(request: DispatchWant, signal: AbortSignal): Promise<DispatchGrant>;
+  acquire(request: DispatchRequest, signal: AbortSignal): Promise<DispatchGrant>;
 }
 
 /** Durations, bounds and intervals of leases; in milliseconds, except for `clockDrift`. */
--- a/packages/fleet/src/core/permits/store.ts
+++ b/packages/fleet/src/core/permits/store.ts
@@ -4,7 +4,7 @@
 import type { EngineOffer, LoadPermit, LoadQueue } from '@celeryyoke/placement';
 import { createLoadQueue, PermitOutcome } from '@celeryyoke/placement';
 
-import { isEnough } from '../engines/orders.js';
+import { isSufficient } from '../engines/orders.js';
 import { Authority } from '../ownership/index.js';
 import type { PermitRequest, PermitRequestAnswer, WireOffer } from './messages.js';
 import { fromWireOffer, PERMIT_GRANT, PERMIT_REDIRECT } from './messages.js';
@@ -97,7 +97,7 @@
 
   private may(): boolean {
     const { ownership, store, timers } = this.options;
-    const may = isEnough(ownership.authority(storeResource(store.name)), Authority.Additive);
+    const may = isSufficient(ownership.authority(storeResource(store.name)), Authority.Additive);
     if (!may) this.since = undefined;
     else this.since ??= timers.now();
     return may;
--- a/packages/fleet/test/leases/failures.test.ts
+++ b/packages/fleet/test/leases/failures.test.ts
@@ -170,7 +170,7 @@
   await site.run(1000);
   site.setOwner('c');
   await site.run(1500);
-  t.is(site.daemon('c').owners.owned()[0]?.leases, 1);
+  t.is(site.daemon('c').owners.ownedEngines()[0]?.leases, 1);
   t.true((await pending).isValid());
   await site.stop();
 });
--- a/packages/fleet/test/leases/flow.test.ts
+++ b/packages/fleet/test/leases/flow.test.ts
@@ -69,7 +69,7 @@
   abort.abort(new Error('gone'));
   await t.throwsAsync(cancelled, { message: 'gone' });
   await site.run(100);
-  t.is(site.daemon('a').owners.owned()[0]?.waiting, 0);
+  t.is(site.daemon('a').owners.ownedEngines()[0]?.waiting, 0);
   await site.stop();
 });
 
--- a/packages/fleet/test/leases/loading.test.ts
+++ b/packages/fleet/test/leases/loading.test.ts
@@ -44,7 +44,7 @@
     site.engine(FIRST_ENGINE).faults.push(fault);
     const pending = site.daemon('b').dispatcher.acquire(site.createRequest('x@1'), neverAborted);
     await site.run(1000);
-    t.is(site.daemon('a').owners.owned()[0]?.slots[0]?.state, SlotState.Loading);
+    t.is(site.daemon('a').owners.ownedEngines()[0]?.slots[0]?.state, SlotState.Loading);
     await site.run(6000);
     t.true((await pending).isValid());
     t.deepEqual(site.engine(FIRST_ENGINE).loads, ['x@1']);
--- a/packages/fleet/test/leases/site.ts
+++ b/packages/fleet/test/leases/site.ts
@@ -10,7 +10,7 @@
 import { createPolicy } from '@celeryyoke/placement';
 
 import type {
-  DispatchWant,
+  DispatchRequest,
   EngineOwners,
   LeaseTimes,
   Membership,
@@ -25,7 +25,7 @@
   createEngineOwners,
   createMemoryPeerNet,
   createPermitOwners,
-  createSiteBook,
+  createSiteState,
 } from '../../src/index.js';
 import { FakeEngine } from './fakeEngine.js';
 import type { LinkFaults } from './faults.js';
@@ -234,7 +234,7 @@
     const metrics = createMetrics();
     const audit = createAuditTrail({ daemon: name, timers });
     const common = { bus, timers, log, metrics, audit, config, membership, ownership };
-    const site = createSiteBook(common);
+    const site = createSiteState(common);
     const permitTimes = this.options.permitTimesOf?.[name];
     const permits = createPermitOwners({ ...common, policy, site, times: permitTimes });
     const clients = (engine: EngineConfig) => process.client(this.engine(engine.name).client());
@@ -305,7 +305,7 @@
   }
 
   /** Creates a request for an adapter key. */
-  createRequest(key: string, waitMs = 20_000): DispatchWant {
+  createRequest(key: string, waitMs = 20_000): DispatchRequest {
     this.lastRequestNumber += 1;
     const deadlineAt = this.timers.now() + waitMs;
     const requestId = `r${this.lastRequestNumber}`;
--- a/packages/serving/test/fakes.ts
+++ b/packages/serving/test/fakes.ts
@@ -10,7 +10,7 @@
 import type {
   CallerLimits,
   DispatchGrant,
-  DispatchWant,
+  DispatchRequest,
   Dispatcher,
   IsolationPass,
   KeyLedger,
@@ -73,7 +73,7 @@
 
 /** A dispatcher that grants the first engine which is not excluded, and counts leases. */
 export class FakeDispatcher extends EventEmitter implements Dispatcher {
-  readonly wants: DispatchWant[] = [];
+  readonly wants: DispatchRequest[] = [];
 
   held = 0;
 
@@ -81,16 +81,16 @@
   readonly settled: boolean[] = [];
 
   /** Answers in place of the usual grant. */
-  override: ((want: DispatchWant, signal: AbortSignal) => Promise<DispatchGrant>) | undefined;
+  override: ((want: DispatchRequest, signal: AbortSignal) => Promise<DispatchGrant>) | undefined;
 
-  async acquire(want: DispatchWant, signal: AbortSignal): Promise<DispatchGrant> {
+  async acquire(want: DispatchRequest, signal: AbortSignal): Promise<DispatchGrant> {
     this.wants.push({ ...want, excluded: new Set(want.excluded) });
     this.emit('want', want);
     if (this.override !== undefined) return this.override(want, signal);
     return this.grant(want);
   }
 
-  grant(want: DispatchWant, isValid: () => boolean = () => true): DispatchGrant {
+  grant(want: DispatchRequest, isValid: () => boolean = () => true): DispatchGrant {
     const engine = SITE.engines.find(({ name }) => !want.excluded.has(name));
     if (engine === undefined) throw new CeleryyokeError('NoUpstream', { target: want.adapter.key });
     this.held += 1;
