--- a/packages/fleet/src/core/peers/bus.ts
+++ b/packages/fleet/src/core/peers/bus.ts
@@ -1,7 +1,7 @@
 /** The peer bus: a task for each link, a listener, and the tables of procedures and sections. */
 import { CeleryyokeError, decode } from '@celeryyoke/core';
 
-import type { AcceptedLink } from './accepted.js';
+import type { AcceptedLink } from './accepted-connection.js';
 import type { BusContext, BusCounters } from './context.js';
 import { PeerLink } from './link.js';
 import type { Beat } from './messages.js';
--- a/packages/fleet/src/core/peers/listener.ts
+++ b/packages/fleet/src/core/peers/listener.ts
@@ -5,7 +5,7 @@
 import { WebSocketServer } from 'ws';
 
 import { WIRE_CODEC } from '@celeryyoke/core';
-import { AcceptedLink } from './accepted.js';
+import { AcceptedLink } from './accepted-connection.js';
 import type { BusContext } from './context.js';
 import type { RouterContext } from './router.js';
 import { peerRouter } from './router.js';
--- a/packages/fleet/src/core/peers/router.ts
+++ b/packages/fleet/src/core/peers/router.ts
@@ -1,7 +1,7 @@
 /** The tRPC router between daemons. */
 import { initTRPC } from '@trpc/server';
 
-import type { AcceptedLink } from './accepted.js';
+import type { AcceptedLink } from './accepted-connection.js';
 import { beatSchema, callSchema, helloSchema, proofSchema } from './messages.js';
 import { toRouterError, toWireError } from './wire-errors.js';
 
