--- a/packages/fleet/src/core/peers/accepted-connection.ts
+++ b/packages/fleet/src/core/peers/accepted-connection.ts
@@ -1,54 +1,57 @@
-/** The listening side of one connection: it refuses strangers, then serves heartbeats and calls. */
+/**
+ * The listening side of one connection: performs the handshake, which refuses peers that lack the shared key
+ * or are not on the host list, and then serves heartbeats and calls.
+ */
 import { CeleryyokeError, toCeleryyokeError } from '@celeryyoke/core';
 
 import type { BusContext } from './context.js';
 import { agreeProtocol } from './handshake.js';
-import type { Beat, Call, Hello, Output, Proof, Welcome } from './messages.js';
+import type { Heartbeat, Call, Hello, Output, Proof, Welcome } from './messages.js';
 import type { HandshakeFacts } from './proof.js';
-import { findProvedKey, makeNonce, prove, ProofSide } from './proof.js';
+import { findKeyOfProof, createNonce, prove, ProofSide } from './proof.js';
 import type { FrameSocket } from './socket.js';
 import type { PeerIdentity } from './types.js';
 import { PeerEventKind } from './types.js';
 
-const UNNAMED = 'unnamed peer';
+const UNNAMED_PEER = 'unnamed peer';
 
-/** One accepted connection. */
-export class AcceptedLink {
+/** Server side of one connection that a peer has opened. */
+export class AcceptedConnection {
   private peer: PeerIdentity | undefined;
 
   private facts: HandshakeFacts | undefined;
 
-  private isProved = false;
+  private hasProvedKey = false;
 
   constructor(
     private readonly bus: BusContext,
     readonly socket: FrameSocket,
   ) {}
 
-  /** Whether the peer has proved the key. */
-  get proved(): boolean {
-    return this.isProved;
+  /** Whether the peer has proved that it knows a shared key, and is on the host list. */
+  get isAuthenticated(): boolean {
+    return this.hasProvedKey;
   }
 
-  /** The peer, as soon as it has proved the key. */
-  get identity(): PeerIdentity | undefined {
-    return this.isProved ? this.peer : undefined;
+  /** The peer; undefined until it is authenticated. */
+  get authenticatedPeer(): PeerIdentity | undefined {
+    return this.hasProvedKey ? this.peer : undefined;
   }
 
   /**
-   * Takes the dialler's first message and answers with a challenge.
-   * @param hello - The message.
-   * @returns The challenge.
+   * Handles the dialler's first message: agrees on a protocol version and issues a challenge. A second hello
+   * on the same connection is refused.
+   * @throws CeleryyokeError PeerKeyWrong or PeerVersionWrong; the connection is then closed.
    */
-  greet(hello: Hello): Welcome {
-    return this.guard(hello.identity.name, () => {
+  handleHello(hello: Hello): Welcome {
+    return this.runHandshakeStep(hello.identity.name, () => {
       const { bus } = this;
       const { identity } = hello;
       if (this.facts !== undefined) throw new CeleryyokeError('PeerKeyWrong', { peer: identity.name });
       this.socket.peer = identity.name;
       const range = { oldest: bus.oldestProtocol, newest: bus.self.protocol };
       const protocol = agreeProtocol(range, identity, hello.oldestProtocol);
-      const nonce = makeNonce();
+      const nonce = createNonce();
       this.peer = { ...identity, protocol };
       this.facts = {
         dialler: identity.name,
@@ -64,66 +67,65 @@
   }
 
   /**
-   * Checks the dialler's proof and answers with this side's.
-   * @param message - The proof.
+   * Checks the dialler's proof and authenticates the peer.
    * @returns The proof of this side, made with the same key.
+   * @throws CeleryyokeError PeerKeyWrong, PeerStranger or PeerSuperseded; the connection is then closed.
    */
-  prove(message: Proof): Proof {
-    const name = this.peer?.name ?? UNNAMED;
-    return this.guard(name, () => {
+  handleProof(message: Proof): Proof {
+    const name = this.peer?.name ?? UNNAMED_PEER;
+    return this.runHandshakeStep(name, () => {
       const { bus, facts, peer } = this;
       if (facts === undefined || peer === undefined)
         throw new CeleryyokeError('PeerKeyWrong', { peer: name });
-      const key = findProvedKey(bus.options.keys(), ProofSide.Dialler, facts, message.proof);
+      const key = findKeyOfProof(bus.options.keys(), ProofSide.Dialler, facts, message.proof);
       if (key === undefined) throw new CeleryyokeError('PeerKeyWrong', { peer: name });
-      // Only who knows the key may learn who is on the list.
+      // Checked after the key, so that only peers that know the key can find out who is on the host list.
       if (!bus.isListed(name)) throw new CeleryyokeError('PeerStranger', { peer: name });
       bus.admit(peer);
-      this.isProved = true;
-      bus.tell(PeerEventKind.Met, peer.name, peer);
+      this.hasProvedKey = true;
+      bus.emit(PeerEventKind.Authenticated, peer.name, peer);
       return { proof: prove(key, ProofSide.Listener, facts) };
     });
   }
 
   /**
-   * Takes in a heartbeat; a late or repeated one is acknowledged but not taken in.
-   * @param beat - The heartbeat.
+   * Merges the sections of a heartbeat; a late or duplicated heartbeat is acknowledged but not merged.
    * @returns The acknowledgement, with sections when this daemon sends the peer no heartbeats of its own.
    */
-  beat(beat: Beat): Beat {
+  handleHeartbeat(heartbeat: Heartbeat): Heartbeat {
     const peer = this.requirePeer();
     const { bus } = this;
-    bus.tell(PeerEventKind.Heard, peer.name, peer);
-    bus.takeIn(peer, beat);
-    return bus.makeBeat(peer.name, !bus.beats(peer.name));
+    bus.emit(PeerEventKind.HeartbeatExchanged, peer.name, peer);
+    bus.mergeSections(peer, heartbeat);
+    return bus.createHeartbeat(peer.name, !bus.sendsHeartbeatsTo(peer.name));
   }
 
   /**
-   * Serves a call.
-   * @param call - The call.
-   * @returns Its output.
+   * Runs the called procedure.
+   * @throws CeleryyokeError PeerKeyWrong before the handshake, PeerProcedureUnknown, PeerMessageTooLarge, or
+   * what the handler throws.
    */
-  async serve(call: Call): Promise<Output> {
+  async handleCall(call: Call): Promise<Output> {
     const peer = this.requirePeer();
-    return { output: await this.bus.procedures.runPacked(call.procedure, call.input, peer) };
+    return { output: await this.bus.procedures.runEncoded(call.procedure, call.input, peer) };
   }
 
   private requirePeer(): PeerIdentity {
-    const { peer, isProved } = this;
-    if (peer === undefined || !isProved) {
+    const { peer, hasProvedKey } = this;
+    if (peer === undefined || !hasProvedKey) {
       this.socket.terminate();
-      throw new CeleryyokeError('PeerKeyWrong', { peer: peer?.name ?? UNNAMED });
+      throw new CeleryyokeError('PeerKeyWrong', { peer: peer?.name ?? UNNAMED_PEER });
     }
     return peer;
   }
 
-  /** Runs a step of the handshake; a failure is recorded, answered, and ends the connection. */
-  private guard<T>(name: string, step: () => T): T {
+  /** Runs a step of the handshake; a failure is recorded, sent to the peer, and closes the connection. */
+  private runHandshakeStep<T>(name: string, step: () => T): T {
     try {
       return step();
     } catch (thrown) {
-      this.bus.refuse(name, toCeleryyokeError(thrown));
-      // The answer must leave before the connection ends.
+      this.bus.recordRefusal(name, toCeleryyokeError(thrown));
+      // The error response must be sent before the connection is closed.
       setImmediate(() => this.socket.close());
       throw thrown;
     }
--- a/packages/fleet/src/core/peers/bus.ts
+++ b/packages/fleet/src/core/peers/bus.ts
@@ -1,16 +1,20 @@
-/** The peer bus: a task for each link, a listener, and the tables of procedures and sections. */
+/**
+ * Connects this daemon to the other daemons of the fleet. The bus runs one task for each link that it dials,
+ * listens for connections of its peers, and dispatches calls and heartbeats to the registered procedures and
+ * sections.
+ */
 import { CeleryyokeError, decode } from '@celeryyoke/core';
 
-import type { AcceptedLink } from './accepted-connection.js';
+import type { AcceptedConnection } from './accepted-connection.js';
 import type { BusContext, BusCounters } from './context.js';
 import { PeerLink } from './link.js';
-import type { Beat } from './messages.js';
+import type { Heartbeat } from './messages.js';
 import { PeerListener } from './listener.js';
 import { ProcedureTable } from './procedures.js';
 import { RefusalRecord } from './refusals.js';
 import { SectionTable } from './sections.js';
 import { DEFAULT_PEER_SETTINGS, OLDEST_PROTOCOL_VERSION } from './settings.js';
-import type { FrameGate } from './socket.js';
+import type { SocketContext } from './socket.js';
 import type {
   HeartbeatSection,
   ManagedPeerBus,
@@ -26,18 +30,21 @@
 } from './types.js';
 import { PeerEventKind } from './types.js';
 
-/** For how long a later start keeps out an earlier one; bounded, in case a host's clock was set back. */
-const SUPERSEDED_MS = 60_000;
+/**
+ * For this long after a later incarnation of a peer was last seen, earlier ones are refused. Bounded, because
+ * after a host's clock was set back a restarted daemon has a smaller incarnation.
+ */
+const EARLIER_INCARNATION_REFUSAL_MS = 60_000;
 
-/** The start of a peer that was heard last. */
-interface HeardStart {
+/** The incarnation of a peer that was authenticated last. */
+interface KnownIncarnation {
   readonly incarnation: number;
-  heardAt: number;
-  /** Number of the newest sections that were taken in. */
+  lastSeenAt: number;
+  /** Sequence number of the newest heartbeat whose sections were merged. */
   seq: number;
 }
 
-function makeGate(options: PeerBusOptions, settings: PeerSettings): FrameGate {
+function createSocketContext(options: PeerBusOptions, settings: PeerSettings): SocketContext {
   const { metrics, timers, linkPolicy } = options;
   return {
     self: options.self.name,
@@ -49,15 +56,15 @@
   };
 }
 
-function makeCounters({ metrics }: PeerBusOptions): BusCounters {
+function createCounters({ metrics }: PeerBusOptions): BusCounters {
   return {
     receivedBytes: metrics.counter('celeryyoke_peer_received_bytes_total', 'Bytes received from peers.'),
     calls: metrics.counter('celeryyoke_peer_calls_total', 'Calls made to peers.'),
-    beats: metrics.counter('celeryyoke_peer_heartbeats_total', 'Heartbeats sent to peers.'),
+    heartbeats: metrics.counter('celeryyoke_peer_heartbeats_total', 'Heartbeats sent to peers.'),
   };
 }
 
-/** The bus of one daemon. */
+/** Peer bus over tRPC on WebSockets. */
 class TrpcPeerBus implements ManagedPeerBus, BusContext {
   readonly self: PeerIdentity;
 
@@ -67,7 +74,7 @@
 
   readonly log;
 
-  readonly gate: FrameGate;
+  readonly socketContext: SocketContext;
 
   readonly counters: BusCounters;
 
@@ -85,21 +92,21 @@
 
   private readonly links = new Map<string, PeerLink>();
 
-  private readonly heard = new Map<string, HeardStart>();
+  private readonly knownIncarnations = new Map<string, KnownIncarnation>();
 
   private readonly listeners = new Set<(event: PeerEvent) => void>();
 
   private isStopped = false;
 
-  private seq = 0;
+  private lastSeq = 0;
 
   constructor(readonly options: PeerBusOptions) {
     this.self = options.self;
     this.settings = { ...DEFAULT_PEER_SETTINGS, ...options.settings };
     this.oldestProtocol = options.oldestProtocol ?? OLDEST_PROTOCOL_VERSION;
     this.log = options.log.part('peers');
-    this.gate = makeGate(options, this.settings);
-    this.counters = makeCounters(options);
+    this.socketContext = createSocketContext(options, this.settings);
+    this.counters = createCounters(options);
     this.procedures = new ProcedureTable(this.settings.maxMessageBytes);
     this.sections = new SectionTable(this.settings.maxSectionBytes, this.log);
     this.refusals = new RefusalRecord({ timers: options.timers, log: this.log, audit: options.audit });
@@ -123,12 +130,14 @@
     this.listed.clear();
     for (const peer of directory.listed) if (peer.name !== this.self.name) this.listed.set(peer.name, peer);
     this.linked = directory.linked;
-    for (const link of this.links.values()) this.review(link);
+    for (const link of this.links.values()) this.updateLink(link);
     for (const name of directory.linked) {
       const peer = this.listed.get(name);
       if (peer !== undefined && !this.links.has(name)) this.addLink(peer);
     }
-    this.listener.prune((link) => link.identity === undefined || this.isListed(link.identity.name));
+    this.listener.closeDisallowed(
+      (link) => link.authenticatedPeer === undefined || this.isListed(link.authenticatedPeer.name),
+    );
   }
 
   subscribe(listener: (event: PeerEvent) => void): () => void {
@@ -154,74 +163,78 @@
       return (await this.procedures.run(procedure.name, input, this.self)) as Output;
     const link = this.links.get(peer) ?? this.linkForCall(peer);
     this.counters.calls.add();
-    const packed = this.procedures.pack(input);
-    return decode(await this.callInTime(link, procedure.name, packed, options)) as Output;
+    const encoded = this.procedures.encodeMessage(input);
+    return decode(await this.callWithTimeout(link, procedure.name, encoded, options)) as Output;
   }
 
   isListed(name: string): boolean {
     return this.listed.has(name);
   }
 
-  beats(name: string): boolean {
+  sendsHeartbeatsTo(name: string): boolean {
     return this.linked.has(name) && this.links.get(name)?.peer !== undefined;
   }
 
-  makeBeat(peer: string, withSections: boolean): Beat {
-    this.seq += 1;
+  createHeartbeat(peer: string, withSections: boolean): Heartbeat {
+    this.lastSeq += 1;
     const sections = withSections ? this.sections.collect(peer) : undefined;
-    return sections === undefined ? { seq: this.seq } : { seq: this.seq, sections };
+    return sections === undefined ? { seq: this.lastSeq } : { seq: this.lastSeq, sections };
   }
 
-  takeIn(peer: PeerIdentity, { seq, sections }: Beat): void {
-    const start = this.heard.get(peer.name);
-    // Heartbeats and acknowledgements travel on two connections, so they may overtake each other.
-    if (sections === undefined || start?.incarnation !== peer.incarnation || seq <= start.seq) return;
-    start.seq = seq;
-    this.sections.absorb(peer, sections);
+  mergeSections(peer: PeerIdentity, { seq, sections }: Heartbeat): void {
+    const known = this.knownIncarnations.get(peer.name);
+    // Heartbeats and acknowledgements can use two connections, so they may arrive out of order.
+    if (sections === undefined || known?.incarnation !== peer.incarnation || seq <= known.seq) return;
+    known.seq = seq;
+    this.sections.merge(peer, sections);
   }
 
   admit(peer: PeerIdentity): void {
     const now = this.options.timers.now();
-    const known = this.heard.get(peer.name);
+    const known = this.knownIncarnations.get(peer.name);
     const isEarlier = known !== undefined && known.incarnation > peer.incarnation;
-    if (isEarlier && now - known.heardAt < SUPERSEDED_MS) {
+    if (isEarlier && now - known.lastSeenAt < EARLIER_INCARNATION_REFUSAL_MS) {
       throw new CeleryyokeError('PeerSuperseded', { peer: peer.name });
     }
     const seq = known?.incarnation === peer.incarnation ? known.seq : 0;
-    this.heard.set(peer.name, { incarnation: peer.incarnation, heardAt: now, seq });
-    const isSuperseded = (link: AcceptedLink): boolean =>
-      link.identity?.name === peer.name && link.identity.incarnation !== peer.incarnation;
-    this.listener.prune((link) => !isSuperseded(link));
+    this.knownIncarnations.set(peer.name, { incarnation: peer.incarnation, lastSeenAt: now, seq });
+    const isSuperseded = (link: AcceptedConnection): boolean =>
+      link.authenticatedPeer?.name === peer.name && link.authenticatedPeer.incarnation !== peer.incarnation;
+    this.listener.closeDisallowed((link) => !isSuperseded(link));
   }
 
-  tell(kind: PeerEventKind, name: string, peer: PeerIdentity | undefined): void {
-    const start = this.heard.get(name);
-    if (kind === PeerEventKind.Heard && start !== undefined && start.incarnation === peer?.incarnation) {
-      start.heardAt = this.options.timers.now();
+  emit(kind: PeerEventKind, name: string, peer: PeerIdentity | undefined): void {
+    const known = this.knownIncarnations.get(name);
+    if (
+      kind === PeerEventKind.HeartbeatExchanged &&
+      known !== undefined &&
+      known.incarnation === peer?.incarnation
+    ) {
+      known.lastSeenAt = this.options.timers.now();
     }
     for (const listener of this.listeners) listener({ kind, name, peer });
   }
 
-  refuse(peer: string, err: CeleryyokeError): void {
-    this.refusals.note(peer, err);
+  recordRefusal(peer: string, err: CeleryyokeError): void {
+    this.refusals.record(peer, err);
   }
 
-  private async callInTime(
+  private async callWithTimeout(
     link: PeerLink,
     procedure: string,
     input: Uint8Array<ArrayBuffer>,
     options: PeerCallOptions,
   ): Promise<Uint8Array> {
-    const limit = new AbortController();
-    const giveUp = (): void => limit.abort();
-    const timer = this.options.timers.after(options.timeoutMs, giveUp);
-    options.signal?.addEventListener('abort', giveUp, { once: true });
-    if (options.signal?.aborted) giveUp();
+    const controller = new AbortController();
+    const onAbort = (): void => controller.abort();
+    const timer = this.options.timers.after(options.timeoutMs, onAbort);
+    options.signal?.addEventListener('abort', onAbort, { once: true });
+    if (options.signal?.aborted) onAbort();
     try {
-      return await link.call(procedure, input, limit.signal);
+      return await link.call(procedure, input, controller.signal);
     } finally {
       timer.cancel();
-      options.signal?.removeEventListener('abort', giveUp);
+      options.signal?.removeEventListener('abort', onAbort);
     }
   }
 
@@ -242,23 +255,25 @@
     return link;
   }
 
-  /** Ends a link whose peer is gone or has moved; else notes whether it is kept all the time. */
-  private review(link: PeerLink): void {
+  /**
+   * Stops a link whose peer was removed or has a new address; otherwise updates whether the link is
+   * persistent.
+   */
+  private updateLink(link: PeerLink): void {
     const { name, address } = link.target;
     if (this.listed.get(name)?.address === address) {
-      link.setKept(this.linked.has(name));
+      link.setPersistent(this.linked.has(name));
       return;
     }
     this.links.delete(name);
-    if (!this.listed.has(name)) this.heard.delete(name);
+    if (!this.listed.has(name)) this.knownIncarnations.delete(name);
     void link.stop();
   }
 }
 
 /**
- * Makes a peer bus; it listens and dials after its start.
- * @param options - Identity, keys, bounds and services.
- * @returns The bus.
+ * Creates a peer bus. It listens from {@link ManagedPeerBus.start} on, and dials the peers that
+ * {@link ManagedPeerBus.updatePeers} names.
  */
 export function createPeerBus(options: PeerBusOptions): ManagedPeerBus {
   return new TrpcPeerBus(options);
--- a/packages/fleet/src/core/peers/index.ts
+++ b/packages/fleet/src/core/peers/index.ts
@@ -1,4 +1,4 @@
-/** Links to the other daemons. */
+/** Calls and heartbeats between the daemons of a fleet. */
 export { createPeerBus } from './bus.js';
 export { createMemoryPeerNet } from './memory.js';
 export type { MemoryPeerNet } from './memory.js';
--- a/packages/fleet/src/core/peers/link.ts
+++ b/packages/fleet/src/core/peers/link.ts
@@ -1,4 +1,7 @@
-/** The task of one peer: dial, prove, send heartbeats, back off, dial again. */
+/**
+ * The dialling side of the link to one peer. Its task dials the peer, authenticates, sends heartbeats until
+ * the connection ends, waits for a backoff, and dials again.
+ */
 import type { Task } from '@celeryyoke/core';
 import { CeleryyokeError, runTask, toCeleryyokeError } from '@celeryyoke/core';
 
@@ -7,23 +10,23 @@
 import type { PeerAddress, PeerIdentity } from './types.js';
 import { PeerEventKind } from './types.js';
 
-/** Refusals: the peer was reached, so its operator must act. */
-const REFUSALS = new Set<string>(['PeerKeyWrong', 'PeerVersionWrong', 'PeerStranger', 'PeerSuperseded']);
+/** Errors of a handshake that was refused: the peer was reached, so an operator has to act. */
+const REFUSAL_KINDS = new Set<string>(['PeerKeyWrong', 'PeerVersionWrong', 'PeerStranger', 'PeerSuperseded']);
 
-/** A session whose peer is proved. */
+/** A session whose peer is authenticated. */
 interface OpenSession {
   readonly session: DialledSession;
   readonly peer: PeerIdentity;
 }
 
-/** A dial that is under way; it settles when the peer is proved, or fails. */
+/** A dial in progress; settles when the peer is authenticated or the dial fails. */
 interface Dial {
   readonly done: Promise<OpenSession>;
   resolve(open: OpenSession): void;
   reject(err: unknown): void;
 }
 
-function makeDial(): Dial {
+function createDial(): Dial {
   let resolve: Dial['resolve'] = () => undefined;
   let reject: Dial['reject'] = () => undefined;
   const done = new Promise<OpenSession>((onDone, onFail) => {
@@ -34,22 +37,22 @@
   return { done, resolve, reject };
 }
 
-/** The link to one peer. */
+/** The link to one peer, over one connection at a time. */
 export class PeerLink {
-  private dial: Dial | undefined = makeDial();
+  private dial: Dial | undefined = createDial();
 
   private open: OpenSession | undefined;
 
-  private usedAt: number;
+  private lastUsedAt: number;
 
   private task: Task<void> | undefined;
 
   constructor(
     private readonly bus: BusContext,
     readonly target: PeerAddress,
-    private isKept: boolean,
+    private isPersistent: boolean,
   ) {
-    this.usedAt = bus.options.timers.now();
+    this.lastUsedAt = bus.options.timers.now();
   }
 
   /** The peer, while the link is up. */
@@ -58,7 +61,7 @@
   }
 
   /**
-   * Starts the task.
+   * Starts the task of the link.
    * @returns A promise that settles when the task has ended, and never rejects.
    */
   async start(): Promise<void> {
@@ -66,12 +69,9 @@
     await this.task.done.catch(() => undefined);
   }
 
-  /**
-   * Says whether the link is kept all the time, with heartbeats, or only as long as it is used for calls.
-   * @param isKept - Whether it is.
-   */
-  setKept(isKept: boolean): void {
-    this.isKept = isKept;
+  /** Sets whether the link is kept open with heartbeats, or closed when no calls use it. */
+  setPersistent(isPersistent: boolean): void {
+    this.isPersistent = isPersistent;
   }
 
   /** Ends the task and the connection. */
@@ -80,14 +80,14 @@
   }
 
   /**
-   * Calls a procedure; waits for a dial that is under way, but not for the wait before the next one.
-   * @param procedure - Its name.
-   * @param input - Its input, packed.
-   * @param signal - Gives up.
-   * @returns Its output, packed.
+   * Calls a procedure. Waits for a dial in progress, but fails at once during the backoff before the next
+   * one.
+   * @param input - Its encoded input.
+   * @returns Its encoded output.
+   * @throws CeleryyokeError PeerUnreachable, or what the handler threw.
    */
   async call(procedure: string, input: Uint8Array<ArrayBuffer>, signal: AbortSignal): Promise<Uint8Array> {
-    this.usedAt = this.bus.options.timers.now();
+    this.lastUsedAt = this.bus.options.timers.now();
     const { session } = this.open ?? (await this.waitForDial(signal));
     signal.throwIfAborted();
     const { output } = await session.call(procedure, input, signal);
@@ -96,116 +96,124 @@
 
   private waitForDial(signal: AbortSignal): Promise<OpenSession> {
     const { dial } = this;
-    if (dial === undefined) throw this.unreachable();
+    if (dial === undefined) throw this.unreachableError();
     return new Promise((resolve, reject) => {
-      const onAbort = (): void => reject(this.unreachable());
+      const onAbort = (): void => reject(this.unreachableError());
       signal.addEventListener('abort', onAbort, { once: true });
-      dial.done.then(resolve, () => reject(this.unreachable()));
+      dial.done.then(resolve, () => reject(this.unreachableError()));
     });
   }
 
-  private unreachable(): CeleryyokeError {
+  private unreachableError(): CeleryyokeError {
     return new CeleryyokeError('PeerUnreachable', { peer: this.target.name, sent: 'no' });
   }
 
   private *run(signal: AbortSignal): Generator<unknown, void> {
     let failures = 0;
     while (!this.isIdle()) {
-      this.dial ??= makeDial();
+      this.dial ??= createDial();
       const session = new DialledSession(this.bus, this.target);
-      let isUnused = false;
+      let wasIdle = false;
       try {
         const peer = (yield this.authenticate(session)) as PeerIdentity;
         failures = 0;
-        this.enter({ session, peer });
-        yield* this.keep({ session, peer });
-        isUnused = true;
+        this.onConnected({ session, peer });
+        yield* this.maintain({ session, peer });
+        wasIdle = true;
       } catch (thrown) {
         signal.throwIfAborted();
         failures += 1;
-        this.noteFailure(thrown);
+        this.reportFailure(thrown);
       } finally {
-        this.leave(session, isUnused);
+        this.onDisconnected(session, wasIdle);
       }
-      yield this.bus.options.timers.sleep(this.backoff(failures), signal);
+      yield this.bus.options.timers.sleep(this.nextBackoffMs(failures), signal);
     }
   }
 
-  /** Sends heartbeats, or watches for disuse, until the connection ends. */
-  private *keep({ session, peer }: OpenSession): Generator<unknown, void> {
+  /**
+   * Sends heartbeats on a persistent link; returns when a link for calls is idle, throws when the connection
+   * ends.
+   */
+  private *maintain({ session, peer }: OpenSession): Generator<unknown, void> {
     const { options, settings } = this.bus;
     while (!this.isIdle()) {
-      if (this.isKept) yield this.beat(session, peer);
+      if (this.isPersistent) yield this.sendHeartbeat(session, peer);
       yield options.timers.sleep(settings.heartbeatMs, session.ended);
     }
   }
 
-  private async beat(session: DialledSession, peer: PeerIdentity): Promise<void> {
+  private async sendHeartbeat(session: DialledSession, peer: PeerIdentity): Promise<void> {
     const { bus } = this;
-    const beat = bus.makeBeat(peer.name, true);
-    bus.counters.beats.add();
-    const answer = await this.inTime(bus.settings.heartbeatTimeoutMs, session.ended, (inTime) =>
-      session.beat(beat, inTime),
+    const heartbeat = bus.createHeartbeat(peer.name, true);
+    bus.counters.heartbeats.add();
+    const response = await this.withTimeout(bus.settings.heartbeatTimeoutMs, session.ended, (limitedSignal) =>
+      session.sendHeartbeat(heartbeat, limitedSignal),
     );
-    bus.tell(PeerEventKind.Heard, peer.name, peer);
-    bus.takeIn(peer, answer);
+    bus.emit(PeerEventKind.HeartbeatExchanged, peer.name, peer);
+    bus.mergeSections(peer, response);
   }
 
   private authenticate(session: DialledSession): Promise<PeerIdentity> {
     const { dialTimeoutMs } = this.bus.settings;
-    return this.inTime(dialTimeoutMs, session.ended, (inTime) => session.authenticate(inTime));
+    return this.withTimeout(dialTimeoutMs, session.ended, (limitedSignal) =>
+      session.authenticate(limitedSignal),
+    );
   }
 
-  /** Runs a step with a time limit; the wait on the step also ends when the step ignores its signal. */
-  private async inTime<T>(
+  /** Runs a step with a timeout; stops waiting even if the step ignores its signal. */
+  private async withTimeout<T>(
     ms: number,
     signal: AbortSignal,
     step: (signal: AbortSignal) => Promise<T>,
   ): Promise<T> {
-    const limit = new AbortController();
-    const timer = this.bus.options.timers.after(ms, () => limit.abort(this.unreachable()));
-    const onAbort = (): void => limit.abort(signal.reason);
+    const controller = new AbortController();
+    const timer = this.bus.options.timers.after(ms, () => controller.abort(this.unreachableError()));
+    const onAbort = (): void => controller.abort(signal.reason);
     signal.addEventListener('abort', onAbort, { once: true });
     if (signal.aborted) onAbort();
     try {
-      return await Promise.race([step(limit.signal), rejectOnAbort(limit.signal)]);
+      return await Promise.race([step(controller.signal), rejectOnAbort(controller.signal)]);
     } finally {
       timer.cancel();
       signal.removeEventListener('abort', onAbort);
     }
   }
 
-  private enter(open: OpenSession): void {
+  private onConnected(open: OpenSession): void {
     this.open = open;
     this.bus.log.info(`Link to ${open.peer.name} is up.`);
-    this.bus.tell(PeerEventKind.Met, open.peer.name, open.peer);
+    this.bus.emit(PeerEventKind.Authenticated, open.peer.name, open.peer);
     this.dial?.resolve(open);
     this.dial = undefined;
   }
 
-  /** Ends a session; one that ended because nobody used it says nothing about whether the peer can be reached. */
-  private leave(session: DialledSession, isUnused: boolean): void {
+  /**
+   * Ends a session. Closing an idle one is not reported as a loss, as it does not mean that the peer is
+   * unreachable.
+   */
+  private onDisconnected(session: DialledSession, wasIdle: boolean): void {
     const { open, bus } = this;
     session.end();
-    this.dial?.reject(this.unreachable());
+    this.dial?.reject(this.unreachableError());
     this.dial = undefined;
     this.open = undefined;
     if (open !== undefined) bus.log.info(`Link to ${open.peer.name} is down.`);
-    if (!isUnused) bus.tell(PeerEventKind.Lost, this.target.name, open?.peer);
+    if (!wasIdle) bus.emit(PeerEventKind.Lost, this.target.name, open?.peer);
   }
 
-  private noteFailure(thrown: unknown): void {
+  private reportFailure(thrown: unknown): void {
     const err = toCeleryyokeError(thrown);
-    if (REFUSALS.has(err.kind)) this.bus.refuse(this.target.name, err);
+    if (REFUSAL_KINDS.has(err.kind)) this.bus.recordRefusal(this.target.name, err);
     else this.bus.log.debug(`Link to ${this.target.name} failed: ${err.message}`);
   }
 
   private isIdle(): boolean {
     const { options, settings } = this.bus;
-    return !this.isKept && options.timers.now() - this.usedAt > settings.idleLinkMs;
+    return !this.isPersistent && options.timers.now() - this.lastUsedAt > settings.idleLinkMs;
   }
 
-  private backoff(failures: number): number {
+  private nextBackoffMs(failures: number): number {
     const { backoffMinMs, backoffMaxMs } = this.bus.settings;
     const random = this.bus.options.random ?? Math.random;
     const longest = Math.min(backoffMaxMs, backoffMinMs * 2 ** Math.min(failures, 20));
--- a/packages/fleet/src/core/peers/listener.ts
+++ b/packages/fleet/src/core/peers/listener.ts
@@ -1,27 +1,27 @@
-/** Listens for peers. */
+/** Accepts connections of peers and serves the tRPC router on them. */
 import type { AddressInfo } from 'node:net';
 
 import { getWSConnectionHandler } from '@trpc/server/adapters/ws';
 import { WebSocketServer } from 'ws';
 
 import { WIRE_CODEC } from '@celeryyoke/core';
-import { AcceptedLink } from './accepted-connection.js';
+import { AcceptedConnection } from './accepted-connection.js';
 import type { BusContext } from './context.js';
 import type { RouterContext } from './router.js';
 import { peerRouter } from './router.js';
 import { ENVELOPE_BYTES, FrameSocket } from './socket.js';
 
-/** The listening side of a bus. */
+/** The WebSocket server of a bus. */
 export class PeerListener {
   private server: WebSocketServer | undefined;
 
-  private readonly links = new Map<FrameSocket, AcceptedLink>();
+  private readonly connections = new Map<FrameSocket, AcceptedConnection>();
 
   constructor(private readonly bus: BusContext) {}
 
   /**
-   * Begins to listen.
-   * @returns The port.
+   * Starts to listen.
+   * @returns The port, also when the system chose it.
    */
   async start(): Promise<number> {
     const { options, settings } = this.bus;
@@ -38,34 +38,34 @@
       server.once('listening', resolve);
       server.once('error', reject);
     });
-    this.serve(server);
+    this.serveConnections(server);
     return (server.address() as AddressInfo).port;
   }
 
-  /** Ends all connections and stops listening. */
+  /** Closes all connections and stops listening. */
   async stop(): Promise<void> {
     const { server } = this;
     if (server === undefined) return;
-    for (const socket of this.links.keys()) socket.terminate();
+    for (const socket of this.connections.keys()) socket.terminate();
     await new Promise<void>((resolve) => {
       server.close(() => resolve());
     });
   }
 
   /**
-   * Ends connections of peers that may not be connected any more.
-   * @param isAllowed - Whether a connection may stay.
+   * Closes the connections that may not stay open.
+   * @param isAllowed - Whether a connection may stay open.
    */
-  prune(isAllowed: (link: AcceptedLink) => boolean): void {
-    for (const [socket, link] of this.links) if (!isAllowed(link)) socket.terminate();
+  closeDisallowed(isAllowed: (link: AcceptedConnection) => boolean): void {
+    for (const [socket, link] of this.connections) if (!isAllowed(link)) socket.terminate();
   }
 
-  private serve(server: WebSocketServer): void {
+  private serveConnections(server: WebSocketServer): void {
     const connect = getWSConnectionHandler({
       wss: server,
       router: peerRouter,
       experimental_encoder: WIRE_CODEC,
-      createContext: ({ res }): RouterContext => ({ link: this.links.get(res as FrameSocket)! }),
+      createContext: ({ res }): RouterContext => ({ connection: this.connections.get(res as FrameSocket)! }),
     });
     server.on('error', (err) => this.bus.log.error(`The listener failed: ${err.message}.`));
     server.on('connection', (client, req) => {
@@ -77,28 +77,28 @@
 
   private accept(socket: FrameSocket): boolean {
     const { bus } = this;
-    if (this.countUnproved() >= bus.settings.maxUnprovedLinks) {
+    if (this.countUnauthenticated() >= bus.settings.maxUnauthenticatedLinks) {
       socket.terminate();
       return false;
     }
-    const link = new AcceptedLink(bus, socket);
-    socket.join(bus.gate);
-    this.links.set(socket, link);
+    const link = new AcceptedConnection(bus, socket);
+    socket.setContext(bus.socketContext);
+    this.connections.set(socket, link);
     const deadline = bus.options.timers.after(bus.settings.dialTimeoutMs, () => {
-      if (!link.proved) socket.terminate();
+      if (!link.isAuthenticated) socket.terminate();
     });
     socket.on('message', (data) => bus.counters.receivedBytes.add((data as Buffer).length));
     socket.on('error', (err) => bus.log.debug(`Link from ${socket.peer} failed: ${err.message}.`));
     socket.once('close', () => {
       deadline.cancel();
-      this.links.delete(socket);
+      this.connections.delete(socket);
     });
     return true;
   }
 
-  private countUnproved(): number {
+  private countUnauthenticated(): number {
     let count = 0;
-    for (const link of this.links.values()) if (!link.proved) count += 1;
+    for (const link of this.connections.values()) if (!link.isAuthenticated) count += 1;
     return count;
   }
 }
--- a/packages/fleet/src/core/peers/memory.ts
+++ b/packages/fleet/src/core/peers/memory.ts
@@ -1,4 +1,4 @@
-/** Peer buses that share one process instead of a network, for unit tests of the parts that use a bus. */
+/** In-process peer buses without sockets or timers, for unit tests of the modules that use a bus. */
 import { CeleryyokeError, decode, encode } from '@celeryyoke/core';
 
 import type {
@@ -13,34 +13,31 @@
 } from './types.js';
 import { PeerEventKind } from './types.js';
 
-/** A small net of daemons in one process; values still pass through the wire's codec. */
+/** Connects daemons in one process; values are still encoded and decoded as on the wire. */
 export interface MemoryPeerNet {
   /**
    * Adds a daemon, or replaces the one of the same name, as after a restart.
-   * @param identity - The daemon; its domain, incarnation and protocol may be left out.
-   * @returns Its bus.
+   * @param identity - The daemon; domain, incarnation and protocol have defaults.
    */
   join(identity: Pick<PeerIdentity, 'name'> & Partial<PeerIdentity>): ManagedPeerBus;
-  /**
-   * Takes a daemon away, as after a crash.
-   * @param name - The daemon.
-   */
+  /** Removes a daemon, as after a crash. */
   leave(name: string): void;
   /**
-   * Cuts a link one way: neither calls nor heartbeats pass, nor do answers to calls of the other way.
-   * @param from - The daemon that sends.
-   * @param to - The daemon that would receive.
+   * Blocks one direction: drops calls and heartbeats, and the responses to calls of the opposite direction.
+   * @param from - The sending daemon.
+   * @param to - The receiving daemon.
    */
   cut(from: string, to: string): void;
   /**
-   * Mends a link that was cut; all of them when no names are given.
-   * @param from - The daemon that sends.
-   * @param to - The daemon that receives.
+   * Unblocks one direction, or all of them when no names are given.
+   * @param from - The sending daemon.
+   * @param to - The receiving daemon.
    */
   mend(from?: string, to?: string): void;
   /**
-   * Sends one heartbeat from every daemon to every other that it reaches.
-   * @param passes - Further links that are cut for this heartbeat alone, as to a paused process.
+   * Sends one heartbeat from every daemon to every other daemon that it can reach.
+   * @param passes - Whether this heartbeat passes in a direction; all pass by default. Simulates paused
+   * processes.
    */
   beat(passes?: (from: string, to: string) => boolean): void;
 }
@@ -49,11 +46,11 @@
   return value === undefined ? undefined : decode(encode(value));
 }
 
-type AnyHandler = (raw: unknown, from: PeerIdentity) => Promise<unknown>;
+type UncheckedHandler = (raw: unknown, from: PeerIdentity) => Promise<unknown>;
 
-/** One daemon's end of the net. */
+/** The bus of one daemon. */
 class MemoryBus implements ManagedPeerBus {
-  readonly handlers = new Map<string, AnyHandler>();
+  readonly handlers = new Map<string, UncheckedHandler>();
 
   readonly sections = new Map<string, HeartbeatSection>();
 
@@ -68,8 +65,9 @@
     private readonly net: MemoryNet,
   ) {}
 
-  private hear(peer: PeerIdentity): void {
-    for (const listener of this.listeners) listener({ kind: PeerEventKind.Heard, name: peer.name, peer });
+  private emitHeartbeat(peer: PeerIdentity): void {
+    for (const listener of this.listeners)
+      listener({ kind: PeerEventKind.HeartbeatExchanged, name: peer.name, peer });
   }
 
   handle<Input, Output>(procedure: PeerProcedure<Input, Output>, handler: PeerHandler<Input, Output>): void {
@@ -88,11 +86,12 @@
   ): Promise<Output> {
     options.signal?.throwIfAborted();
     if (peer === this.self.name) return this.callSelf(procedure, input);
-    const target = this.net.reach(this.self.name, peer);
+    const target = this.net.reachableBus(this.self.name, peer);
     const handler = target?.handlers.get(procedure.name);
     if (handler === undefined) throw new CeleryyokeError('PeerUnreachable', { peer });
     const output = await handler(copy(input), this.self);
-    if (this.net.reach(peer, this.self.name) !== this) throw new CeleryyokeError('PeerUnreachable', { peer });
+    if (this.net.reachableBus(peer, this.self.name) !== this)
+      throw new CeleryyokeError('PeerUnreachable', { peer });
     return copy(output) as Output;
   }
 
@@ -124,13 +123,14 @@
     return () => this.listeners.delete(listener);
   }
 
-  beat(peer: MemoryBus): void {
+  sendHeartbeat(peer: MemoryBus): void {
     if (this.linked !== undefined && !this.linked.has(peer.self.name)) return;
-    peer.hear(this.self);
+    peer.emitHeartbeat(this.self);
     this.sendSections(peer);
-    // A heartbeat counts when it was acknowledged; the acknowledgement carries what no heartbeat of the peer will.
-    if (this.net.reach(peer.self.name, this.self.name) !== this) return;
-    this.hear(peer.self);
+    // A heartbeat counts for its sender once it is acknowledged. The acknowledgement carries the peer's
+    // sections if the peer sends no heartbeats of its own.
+    if (this.net.reachableBus(peer.self.name, this.self.name) !== this) return;
+    this.emitHeartbeat(peer.self);
     if (peer.linked?.has(this.self.name) === false) peer.sendSections(this);
   }
 
@@ -142,11 +142,11 @@
   }
 }
 
-/** The net that joins the buses. */
+/** The buses by name, and the directions that are blocked. */
 class MemoryNet implements MemoryPeerNet {
   private readonly buses = new Map<string, MemoryBus>();
 
-  private readonly cuts = new Set<string>();
+  private readonly blockedDirections = new Set<string>();
 
   join(identity: Pick<PeerIdentity, 'name'> & Partial<PeerIdentity>): ManagedPeerBus {
     const bus = new MemoryBus({ incarnation: 1, domain: 'domain-a', protocol: 1, ...identity }, this);
@@ -159,32 +159,29 @@
   }
 
   cut(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+    this.blockedDirections.add(`${from}>${to}`);
   }
 
   mend(from?: string, to?: string): void {
-    if (from === undefined) this.cuts.clear();
-    else this.cuts.delete(`${from}>${to}`);
+    if (from === undefined) this.blockedDirections.clear();
+    else this.blockedDirections.delete(`${from}>${to}`);
   }
 
-  reach(from: string, to: string): MemoryBus | undefined {
-    return this.cuts.has(`${from}>${to}`) ? undefined : this.buses.get(to);
+  reachableBus(from: string, to: string): MemoryBus | undefined {
+    return this.blockedDirections.has(`${from}>${to}`) ? undefined : this.buses.get(to);
   }
 
   beat(passes: (from: string, to: string) => boolean = () => true): void {
     for (const bus of this.buses.values()) {
       for (const name of this.buses.keys()) {
-        const peer = this.reach(bus.self.name, name);
-        if (peer !== undefined && peer !== bus && passes(bus.self.name, name)) bus.beat(peer);
+        const peer = this.reachableBus(bus.self.name, name);
+        if (peer !== undefined && peer !== bus && passes(bus.self.name, name)) bus.sendHeartbeat(peer);
       }
     }
   }
 }
 
-/**
- * Makes an empty net.
- * @returns The net.
- */
+/** Creates a net without daemons. */
 export function createMemoryPeerNet(): MemoryPeerNet {
   return new MemoryNet();
 }
--- a/packages/fleet/src/core/peers/messages.ts
+++ b/packages/fleet/src/core/peers/messages.ts
@@ -1,50 +1,57 @@
-/** Messages of the wire, each with its check. */
+/** Schemas of the messages between daemons. */
 import { z } from 'zod';
 
-const MAX_NAME = 256;
+const MAX_NAME_LENGTH = 256;
 
-const bytes = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
-const version = z.number().int().positive();
+const bytesSchema = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
+const versionSchema = z.number().int().positive();
 
-/** Identity as it crosses the wire. */
+/** Identity of a daemon as it is sent in the handshake. */
 const identitySchema = z.object({
-  name: z.string().min(1).max(MAX_NAME),
+  name: z.string().min(1).max(MAX_NAME_LENGTH),
   incarnation: z.number().nonnegative(),
-  domain: z.string().max(MAX_NAME),
-  protocol: version,
+  domain: z.string().max(MAX_NAME_LENGTH),
+  protocol: versionSchema,
 });
 
-/** First message of the dialler. */
+/** First message of the handshake, from the dialler. */
 export const helloSchema = z.object({
   identity: identitySchema,
-  oldestProtocol: version,
-  nonce: bytes,
+  oldestProtocol: versionSchema,
+  nonce: bytesSchema,
 });
 
-/** Answer to the first message. */
-export const welcomeSchema = z.object({ identity: identitySchema, protocol: version, nonce: bytes });
+/** Response to the hello: the listener's identity, the agreed protocol version and a challenge. */
+export const welcomeSchema = z.object({
+  identity: identitySchema,
+  protocol: versionSchema,
+  nonce: bytesSchema,
+});
 
-/** Proof of either side. */
-export const proofSchema = z.object({ proof: bytes });
+/** Proof that the sender knows a shared key; both sides send one. */
+export const proofSchema = z.object({ proof: bytesSchema });
 
-/** A heartbeat, or the answer to one: sections by name, packed. */
-export const beatSchema = z.object({ seq: z.number().int().nonnegative(), sections: bytes.optional() });
+/** A heartbeat or its acknowledgement; `sections` is an encoded record of sections by name. */
+export const heartbeatSchema = z.object({
+  seq: z.number().int().nonnegative(),
+  sections: bytesSchema.optional(),
+});
 
-/** A call of a procedure: its input, packed. */
-export const callSchema = z.object({ procedure: z.string().min(1).max(MAX_NAME), input: bytes });
+/** A call of a procedure, with its encoded input. */
+export const callSchema = z.object({ procedure: z.string().min(1).max(MAX_NAME_LENGTH), input: bytesSchema });
 
-/** Answer to a call: its output, packed. */
-export const outputSchema = z.object({ output: bytes });
+/** Response to a call, with the encoded output. */
+export const outputSchema = z.object({ output: bytesSchema });
 
-/** First message of the dialler. */
+/** First message of the handshake, from the dialler. */
 export type Hello = z.infer<typeof helloSchema>;
-/** Answer to the first message. */
+/** Response to the hello. */
 export type Welcome = z.infer<typeof welcomeSchema>;
-/** Proof of either side. */
+/** Proof that the sender knows a shared key. */
 export type Proof = z.infer<typeof proofSchema>;
-/** A heartbeat, or the answer to one. */
-export type Beat = z.infer<typeof beatSchema>;
+/** A heartbeat or its acknowledgement. */
+export type Heartbeat = z.infer<typeof heartbeatSchema>;
 /** A call of a procedure. */
 export type Call = z.infer<typeof callSchema>;
-/** Answer to a call. */
+/** Response to a call. */
 export type Output = z.infer<typeof outputSchema>;
--- a/packages/fleet/src/core/peers/procedures.ts
+++ b/packages/fleet/src/core/peers/procedures.ts
@@ -1,31 +1,25 @@
-/** The procedures that this daemon serves. */
+/** Registry of the procedures that this daemon serves to its peers. */
 import { CeleryyokeError, decode, encode } from '@celeryyoke/core';
 
 import type { PeerHandler, PeerIdentity, PeerProcedure } from './types.js';
 
-type RawHandler = (raw: unknown, from: PeerIdentity) => Promise<unknown>;
+type UncheckedHandler = (raw: unknown, from: PeerIdentity) => Promise<unknown>;
 
-/** Handlers by the name of their procedure. */
+/** Runs procedures by name and bounds the size of the messages that they return. */
 export class ProcedureTable {
-  private readonly handlers = new Map<string, RawHandler>();
+  private readonly handlers = new Map<string, UncheckedHandler>();
 
   constructor(private readonly maxMessageBytes: number) {}
 
-  /**
-   * Adds a handler.
-   * @param procedure - What it serves.
-   * @param handler - The handler.
-   */
+  /** Registers the handler of a procedure; replaces an earlier one of the same name. */
   add<Input, Output>(procedure: PeerProcedure<Input, Output>, handler: PeerHandler<Input, Output>): void {
     this.handlers.set(procedure.name, async (raw, from) => handler(procedure.parse(raw), from));
   }
 
   /**
-   * Runs a procedure.
-   * @param name - Its name.
-   * @param raw - Its input, not yet checked.
-   * @param from - The caller.
-   * @returns Its output.
+   * Validates the input and runs a procedure.
+   * @param raw - Unchecked input.
+   * @param from - The calling daemon.
    * @throws CeleryyokeError PeerProcedureUnknown, or what the handler throws.
    */
   async run(name: string, raw: unknown, from: PeerIdentity): Promise<unknown> {
@@ -35,23 +29,18 @@
   }
 
   /**
-   * Runs a procedure for a peer.
-   * @param name - Its name.
-   * @param input - Its input, packed.
-   * @param from - The peer.
-   * @returns Its output, packed.
+   * Runs a procedure for a peer, with encoded input and output.
+   * @throws CeleryyokeError PeerProcedureUnknown, PeerMessageTooLarge, or what the handler throws.
    */
-  async runPacked(name: string, input: Uint8Array, from: PeerIdentity): Promise<Uint8Array> {
-    return this.pack(await this.run(name, decode(input), from));
+  async runEncoded(name: string, input: Uint8Array, from: PeerIdentity): Promise<Uint8Array> {
+    return this.encodeMessage(await this.run(name, decode(input), from));
   }
 
   /**
-   * Packs a message within its bound.
-   * @param value - The message.
-   * @returns Its bytes.
-   * @throws CeleryyokeError PeerMessageTooLarge.
+   * Encodes a message.
+   * @throws CeleryyokeError PeerMessageTooLarge when the result exceeds the limit of the settings.
    */
-  pack(value: unknown): Uint8Array<ArrayBuffer> {
+  encodeMessage(value: unknown): Uint8Array<ArrayBuffer> {
     const bytes = encode(value);
     const { maxMessageBytes } = this;
     if (bytes.length > maxMessageBytes) {
--- a/packages/fleet/src/core/peers/proof.ts
+++ b/packages/fleet/src/core/peers/proof.ts
@@ -1,17 +1,23 @@
-/** Proof of the shared key: each side answers the other's challenge, and the key never crosses the wire. */
+/**
+ * Challenge-response proof of the shared key. Each side computes an HMAC over the facts of the handshake,
+ * which include the nonces of both sides, so the key itself is never sent.
+ */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
 import { encode } from '@celeryyoke/core';
 
 const NONCE_BYTES = 32;
 
-/** Which side proves; a proof of one side is worth nothing from the other. */
+/**
+ * The side that makes a proof. It is part of the proof, so that one side's proof can't be sent back as the
+ * other's.
+ */
 export enum ProofSide {
   Dialler = 'dialler',
   Listener = 'listener',
 }
 
-/** What both sides know of a handshake and bind their proofs to. */
+/** Facts of one handshake that both sides know and that their proofs cover. */
 export interface HandshakeFacts {
   readonly dialler: string;
   readonly diallerIncarnation: number;
@@ -22,23 +28,14 @@
   readonly protocol: number;
 }
 
-/**
- * Makes a challenge.
- * @returns Random bytes that are never used again.
- */
-export function makeNonce(): Uint8Array {
+/** Creates a random challenge for one handshake. */
+export function createNonce(): Uint8Array {
   return new Uint8Array(randomBytes(NONCE_BYTES));
 }
 
-/**
- * Proves a key.
- * @param key - The shared key.
- * @param side - Who proves.
- * @param facts - The handshake.
- * @returns The proof.
- */
+/** Makes the proof that a side knows the key. */
 export function prove(key: string, side: ProofSide, facts: HandshakeFacts): Uint8Array {
-  const bound = [
+  const proven = [
     side,
     facts.protocol,
     facts.dialler,
@@ -48,18 +45,15 @@
     facts.listenerIncarnation,
     facts.listenerNonce,
   ];
-  return new Uint8Array(createHmac('sha256', key).update(encode(bound)).digest());
+  return new Uint8Array(createHmac('sha256', key).update(encode(proven)).digest());
 }
 
 /**
- * Finds the key that a proof was made with.
- * @param keys - Keys that are valid now.
- * @param side - Who proved.
- * @param facts - The handshake.
- * @param proof - The proof.
- * @returns The key, or undefined when none fits; every key is tried, each in constant time.
+ * Finds the key that a proof was made with. Compares with every key, each in constant time.
+ * @param side - The side that made the proof.
+ * @returns The key, or undefined when none matches.
  */
-export function findProvedKey(
+export function findKeyOfProof(
   keys: readonly string[],
   side: ProofSide,
   facts: HandshakeFacts,
--- a/packages/fleet/src/core/peers/refusals.ts
+++ b/packages/fleet/src/core/peers/refusals.ts
@@ -1,37 +1,38 @@
-/** Records refused peers in the audit trail, at most one record for each peer and cause in a while. */
+/**
+ * Records refused peers in the log and the audit trail, at most once a minute for each peer and error code.
+ */
 import type { AuditTrail, CeleryyokeError, Log, TimerService } from '@celeryyoke/core';
 import { AuditKind } from '@celeryyoke/core';
 
-const REPEAT_MS = 60_000;
-const MAX_REMEMBERED = 256;
+const MIN_INTERVAL_MS = 60_000;
+const MAX_ENTRIES = 256;
 
-/** Options of the record of refusals. */
+/** Options of {@link RefusalRecord}. */
 export interface RefusalOptions {
   readonly timers: TimerService;
   readonly log: Log;
   readonly audit: AuditTrail;
 }
 
-/** The record of refusals. */
+/** Rate-limited record of refused peers. */
 export class RefusalRecord {
-  private readonly lastAt = new Map<string, number>();
+  private readonly lastRecordedAt = new Map<string, number>();
 
   constructor(private readonly options: RefusalOptions) {}
 
   /**
-   * Notes a refusal.
+   * Records a refusal, unless the same one was recorded within the last minute.
    * @param peer - The name that the peer gave, or that was dialled.
-   * @param err - Why.
    */
-  note(peer: string, err: CeleryyokeError): void {
+  record(peer: string, err: CeleryyokeError): void {
     const { timers, log, audit } = this.options;
     const key = `${err.code} ${peer}`;
-    const last = this.lastAt.get(key);
-    if (last !== undefined && timers.now() - last < REPEAT_MS) return;
-    this.forgetOld();
-    // Names come from strangers, so what is kept and written of them is bounded.
-    if (this.lastAt.size >= MAX_REMEMBERED) return;
-    this.lastAt.set(key, timers.now());
+    const last = this.lastRecordedAt.get(key);
+    if (last !== undefined && timers.now() - last < MIN_INTERVAL_MS) return;
+    this.removeExpired();
+    // The names come from unauthenticated peers, so memory and log output for them are bounded.
+    if (this.lastRecordedAt.size >= MAX_ENTRIES) return;
+    this.lastRecordedAt.set(key, timers.now());
     log.warn(`${err.message} (code ${err.code})`);
     audit.record({
       kind: AuditKind.PeerRefused,
@@ -41,8 +42,8 @@
     });
   }
 
-  private forgetOld(): void {
-    const since = this.options.timers.now() - REPEAT_MS;
-    for (const [key, at] of this.lastAt) if (at < since) this.lastAt.delete(key);
+  private removeExpired(): void {
+    const since = this.options.timers.now() - MIN_INTERVAL_MS;
+    for (const [key, at] of this.lastRecordedAt) if (at < since) this.lastRecordedAt.delete(key);
   }
 }
--- a/packages/fleet/src/core/peers/router.ts
+++ b/packages/fleet/src/core/peers/router.ts
@@ -1,17 +1,17 @@
-/** The tRPC router between daemons. */
+/** The tRPC router that each daemon serves to its peers. */
 import { initTRPC } from '@trpc/server';
 
-import type { AcceptedLink } from './accepted-connection.js';
-import { beatSchema, callSchema, helloSchema, proofSchema } from './messages.js';
+import type { AcceptedConnection } from './accepted-connection.js';
+import { heartbeatSchema, callSchema, helloSchema, proofSchema } from './messages.js';
 import { toRouterError, toWireError } from './wire-errors.js';
 
-/** Context of each call: the connection that it came on. */
+/** Context of each call. */
 export interface RouterContext {
-  readonly link: AcceptedLink;
+  readonly connection: AcceptedConnection;
 }
 
 const t = initTRPC.context<RouterContext>().create({
-  // The default shape would carry stack traces to the peer.
+  // The default shape can include stack traces, which must not be sent to peers.
   errorFormatter: ({ shape, error }) => ({ ...shape, data: toWireError(error) }),
 });
 
@@ -21,13 +21,16 @@
   return result;
 });
 
-/** The router. Parts' procedures go through `invoke`, so that they can be added while the bus runs. */
+/**
+ * Handshake, heartbeats and calls. Registered procedures go through `invoke`, so that they can be added at
+ * run time.
+ */
 export const peerRouter = t.router({
-  hello: procedure.input(helloSchema).mutation(({ ctx, input }) => ctx.link.greet(input)),
-  prove: procedure.input(proofSchema).mutation(({ ctx, input }) => ctx.link.prove(input)),
-  beat: procedure.input(beatSchema).mutation(({ ctx, input }) => ctx.link.beat(input)),
-  invoke: procedure.input(callSchema).mutation(({ ctx, input }) => ctx.link.serve(input)),
+  hello: procedure.input(helloSchema).mutation(({ ctx, input }) => ctx.connection.handleHello(input)),
+  prove: procedure.input(proofSchema).mutation(({ ctx, input }) => ctx.connection.handleProof(input)),
+  beat: procedure.input(heartbeatSchema).mutation(({ ctx, input }) => ctx.connection.handleHeartbeat(input)),
+  invoke: procedure.input(callSchema).mutation(({ ctx, input }) => ctx.connection.handleCall(input)),
 });
 
-/** Type of the router, for clients. */
+/** Type of the router, for the tRPC client of the dialling side. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/fleet/src/core/peers/sections.ts
+++ b/packages/fleet/src/core/peers/sections.ts
@@ -1,12 +1,12 @@
-/** The sections of the heartbeat. */
+/** Registry of the heartbeat sections, in which modules publish their state to peers. */
 import type { Log } from '@celeryyoke/core';
 
 import { decode, encode } from '@celeryyoke/core';
 import type { HeartbeatSection, PeerIdentity } from './types.js';
 
-type PackedSections = Record<string, Uint8Array>;
+type EncodedSections = Record<string, Uint8Array>;
 
-/** Sections by their name. */
+/** Collects the sections to send in a heartbeat and passes on those received, isolating their errors. */
 export class SectionTable {
   private readonly sections = new Map<string, HeartbeatSection>();
 
@@ -15,43 +15,39 @@
     private readonly log: Log,
   ) {}
 
-  /**
-   * Adds a section.
-   * @param section - The section.
-   */
+  /** Registers a section; replaces an earlier one of the same name. */
   add(section: HeartbeatSection): void {
     this.sections.set(section.name, section);
   }
 
   /**
-   * Collects what a peer is sent. A section that fails or is too large is left out, so that it can't stop the others.
-   * @param peer - The peer.
-   * @returns The sections, packed; undefined when there is nothing to send.
+   * Collects the sections for a peer. One that fails or is too large is left out, so that the others are
+   * still sent.
+   * @returns The encoded sections; undefined when there is nothing to send.
    */
   collect(peer: string): Uint8Array<ArrayBuffer> | undefined {
-    const packed: PackedSections = {};
+    const encoded: EncodedSections = {};
     for (const section of this.sections.values()) {
-      const bytes = this.collectOne(section, peer);
-      if (bytes !== undefined) packed[section.name] = bytes;
+      const bytes = this.collectSection(section, peer);
+      if (bytes !== undefined) encoded[section.name] = bytes;
     }
-    return Object.keys(packed).length === 0 ? undefined : encode(packed);
+    return Object.keys(encoded).length === 0 ? undefined : encode(encoded);
   }
 
   /**
-   * Gives each section what a peer sent; names that this build does not know are passed over.
-   * @param from - The peer.
-   * @param bytes - What {@link SectionTable.collect} made there.
+   * Passes each received section to the registered section of that name; unknown names are ignored.
+   * @param bytes - Result of {@link SectionTable.collect} at the peer.
    */
-  absorb(from: PeerIdentity, bytes: Uint8Array | undefined): void {
+  merge(from: PeerIdentity, bytes: Uint8Array | undefined): void {
     if (bytes === undefined) return;
-    const packed = decode(bytes) as PackedSections;
-    for (const [name, data] of Object.entries(packed)) {
+    const encoded = decode(bytes) as EncodedSections;
+    for (const [name, data] of Object.entries(encoded)) {
       const section = this.sections.get(name);
-      if (section !== undefined) this.absorbOne(section, from, data);
+      if (section !== undefined) this.mergeSection(section, from, data);
     }
   }
 
-  private collectOne(section: HeartbeatSection, peer: string): Uint8Array | undefined {
+  private collectSection(section: HeartbeatSection, peer: string): Uint8Array | undefined {
     try {
       const data = section.collect(peer);
       if (data === undefined) return undefined;
@@ -64,11 +60,11 @@
     return undefined;
   }
 
-  private absorbOne(section: HeartbeatSection, from: PeerIdentity, data: Uint8Array): void {
+  private mergeSection(section: HeartbeatSection, from: PeerIdentity, data: Uint8Array): void {
     try {
       section.absorb(from, decode(data));
     } catch (err) {
-      this.log.error(`Section "${section.name}" from ${from.name} could not be taken in: ${String(err)}.`);
+      this.log.error(`Section "${section.name}" from ${from.name} could not be merged: ${String(err)}.`);
     }
   }
 }
--- a/packages/fleet/src/core/peers/session.ts
+++ b/packages/fleet/src/core/peers/session.ts
@@ -1,29 +1,29 @@
-/** The dialling side of one connection. */
+/** The dialling side of one connection: performs the handshake and sends heartbeats and calls. */
 import { CeleryyokeError, WIRE_CODEC } from '@celeryyoke/core';
 import type { CreateTRPCClient, TRPCWebSocketClient, WebSocketClientOptions } from '@trpc/client';
 import { createTRPCClient, createWSClient, wsLink } from '@trpc/client';
 
 import type { BusContext } from './context.js';
 import { agreeProtocol } from './handshake.js';
-import type { Beat, Output } from './messages.js';
-import { beatSchema, outputSchema, proofSchema, welcomeSchema } from './messages.js';
+import type { Heartbeat, Output } from './messages.js';
+import { heartbeatSchema, outputSchema, proofSchema, welcomeSchema } from './messages.js';
 import type { HandshakeFacts } from './proof.js';
-import { findProvedKey, makeNonce, prove, ProofSide } from './proof.js';
+import { findKeyOfProof, createNonce, prove, ProofSide } from './proof.js';
 import type { PeerRouter } from './router.js';
 import type { FrameSocket } from './socket.js';
-import { dialSocketClass, ENVELOPE_BYTES } from './socket.js';
+import { createDialSocketClass, ENVELOPE_BYTES } from './socket.js';
 import type { PeerAddress, PeerIdentity } from './types.js';
 import { fromWireError } from './wire-errors.js';
 
-/** The kind of class that tRPC's client constructs; `ws` offers the same interface. */
+/** WebSocket class as tRPC's client expects it; the class of `ws` has a compatible interface. */
 type WebSocketClass = NonNullable<WebSocketClientOptions['WebSocket']>;
 
-/** One connection that this daemon dialled. */
+/** Client side of one connection that this daemon has dialled. */
 export class DialledSession {
-  /** Aborts when the connection has ended. */
+  /** Aborted when the connection has ended. */
   readonly ended: AbortSignal;
 
-  private readonly socket: WebSocketClientPair;
+  private readonly client: TerminableClient;
 
   private readonly api: CreateTRPCClient<PeerRouter>;
 
@@ -31,24 +31,24 @@
     private readonly bus: BusContext,
     private readonly target: PeerAddress,
   ) {
-    this.socket = new WebSocketClientPair(bus, target);
-    this.ended = this.socket.ended;
-    this.api = createTRPCClient<PeerRouter>({ links: [wsLink<PeerRouter>({ client: this.socket.client })] });
+    this.client = new TerminableClient(bus, target);
+    this.ended = this.client.ended;
+    this.api = createTRPCClient<PeerRouter>({ links: [wsLink<PeerRouter>({ client: this.client.client })] });
   }
 
   /**
-   * Proves the key and has the peer prove it.
-   * @param signal - Gives up.
-   * @returns The peer; its protocol is the version agreed on.
-   * @throws CeleryyokeError with the code of the refusal, or PeerUnreachable.
+   * Performs the handshake, in which both sides prove that they know the shared key.
+   * @returns The peer; its protocol is the agreed version.
+   * @throws CeleryyokeError PeerKeyWrong, PeerStranger, PeerVersionWrong or PeerSuperseded when either side
+   * refuses, else PeerUnreachable.
    */
   async authenticate(signal: AbortSignal): Promise<PeerIdentity> {
     const { bus, target } = this;
-    const diallerNonce = makeNonce();
+    const diallerNonce = createNonce();
     const hello = { identity: bus.self, oldestProtocol: bus.oldestProtocol, nonce: diallerNonce };
-    const answer = await this.request(() => this.api.hello.mutate(hello, { signal }));
-    const { identity, protocol, nonce } = welcomeSchema.parse(answer);
-    // Another daemon may listen at the address that the list still gives.
+    const response = await this.request(() => this.api.hello.mutate(hello, { signal }));
+    const { identity, protocol, nonce } = welcomeSchema.parse(response);
+    // The host list may be out of date, and another daemon may use the address now.
     if (identity.name !== target.name) throw new CeleryyokeError('PeerStranger', { peer: identity.name });
     agreeProtocol({ oldest: bus.oldestProtocol, newest: bus.self.protocol }, identity, protocol);
     const facts: HandshakeFacts = {
@@ -68,20 +68,16 @@
 
   /**
    * Sends a heartbeat.
-   * @param beat - The heartbeat.
-   * @param signal - Gives up.
    * @returns The acknowledgement.
    */
-  async beat(beat: Beat, signal: AbortSignal): Promise<Beat> {
-    return beatSchema.parse(await this.request(() => this.api.beat.mutate(beat, { signal })));
+  async sendHeartbeat(heartbeat: Heartbeat, signal: AbortSignal): Promise<Heartbeat> {
+    return heartbeatSchema.parse(await this.request(() => this.api.beat.mutate(heartbeat, { signal })));
   }
 
   /**
-   * Calls a procedure.
-   * @param procedure - Its name.
-   * @param input - Its input, packed.
-   * @param signal - Gives up.
-   * @returns Its output, packed.
+   * Calls a procedure at the peer.
+   * @param input - Its encoded input.
+   * @throws CeleryyokeError PeerUnreachable, or what the handler threw.
    */
   async call(procedure: string, input: Uint8Array<ArrayBuffer>, signal: AbortSignal): Promise<Output> {
     return outputSchema.parse(
@@ -89,9 +85,9 @@
     );
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection at once. */
   end(): void {
-    this.socket.end();
+    this.client.end();
   }
 
   private async exchangeProofs(facts: HandshakeFacts, signal: AbortSignal): Promise<void> {
@@ -99,14 +95,16 @@
     const keys = bus.options.keys();
     const [key] = keys;
     if (key === undefined) throw new CeleryyokeError('PeerKeyWrong', { peer: bus.self.name });
-    const mine = { proof: prove(key, ProofSide.Dialler, facts) };
-    const theirs = proofSchema.parse(await this.request(() => this.api.prove.mutate(mine, { signal })));
-    if (findProvedKey([key], ProofSide.Listener, facts, theirs.proof) === undefined) {
+    const ownProof = { proof: prove(key, ProofSide.Dialler, facts) };
+    const peerProof = proofSchema.parse(
+      await this.request(() => this.api.prove.mutate(ownProof, { signal })),
+    );
+    if (findKeyOfProof([key], ProofSide.Listener, facts, peerProof.proof) === undefined) {
       throw new CeleryyokeError('PeerKeyWrong', { peer: target.name });
     }
   }
 
-  /** Turns what tRPC throws into errors with a result code. */
+  /** Converts errors of tRPC into errors with a result code. */
   private async request<T>(send: () => Promise<T>): Promise<T> {
     try {
       return await send();
@@ -122,8 +120,11 @@
   }
 }
 
-/** A WebSocket with tRPC's client around it; the client's own redials stay unused, since the link's task redials. */
-class WebSocketClientPair {
+/**
+ * tRPC's WebSocket client together with its sockets, so that they can be terminated. The client's own
+ * reconnects are unused, because the task of the link dials again.
+ */
+class TerminableClient {
   readonly client: TRPCWebSocketClient;
 
   readonly ended: AbortSignal;
@@ -131,18 +132,23 @@
   private readonly sockets: FrameSocket[] = [];
 
   constructor(bus: BusContext, target: PeerAddress) {
-    const { settings, gate, counters } = bus;
+    const { settings, socketContext: gate, counters } = bus;
     const controller = new AbortController();
     this.ended = controller.signal;
-    const Socket = dialSocketClass(gate, target.name, settings.maxMessageBytes + ENVELOPE_BYTES, (socket) => {
-      this.sockets.push(socket);
-      socket.on('message', (data) => counters.receivedBytes.add((data as ArrayBuffer).byteLength));
-      socket.on('error', (err) => bus.log.debug(`Link to ${target.name} failed: ${err.message}.`));
-      socket.once('close', () => {
-        this.end();
-        controller.abort(new CeleryyokeError('PeerUnreachable', { peer: target.name, sent: 'maybe' }));
-      });
-    });
+    const Socket = createDialSocketClass(
+      gate,
+      target.name,
+      settings.maxMessageBytes + ENVELOPE_BYTES,
+      (socket) => {
+        this.sockets.push(socket);
+        socket.on('message', (data) => counters.receivedBytes.add((data as ArrayBuffer).byteLength));
+        socket.on('error', (err) => bus.log.debug(`Link to ${target.name} failed: ${err.message}.`));
+        socket.once('close', () => {
+          this.end();
+          controller.abort(new CeleryyokeError('PeerUnreachable', { peer: target.name, sent: 'maybe' }));
+        });
+      },
+    );
     this.client = createWSClient({
       url: `ws://${target.address}`,
       WebSocket: Socket as unknown as WebSocketClass,
--- a/packages/fleet/src/core/peers/settings.ts
+++ b/packages/fleet/src/core/peers/settings.ts
@@ -1,13 +1,13 @@
-/** Defaults of the peer bus. */
+/** Protocol versions and default settings of the peer bus. */
 import type { PeerSettings } from './types.js';
 
-/** Protocol versions: the newest that this build speaks, and the oldest that it still understands. */
+/** Newest protocol version that this build supports. */
 export const PROTOCOL_VERSION = 1;
 
-/** Oldest protocol version that this build still understands. */
+/** Oldest protocol version that this build supports. */
 export const OLDEST_PROTOCOL_VERSION = 1;
 
-/** Defaults that suit hosts about a millisecond apart. */
+/** Defaults for hosts with a network latency of about one millisecond. */
 export const DEFAULT_PEER_SETTINGS: PeerSettings = {
   heartbeatMs: 500,
   heartbeatTimeoutMs: 2_000,
@@ -18,5 +18,5 @@
   maxMessageBytes: 1_048_576,
   maxSectionBytes: 32_768,
   maxBufferedBytes: 8_388_608,
-  maxUnprovedLinks: 32,
+  maxUnauthenticatedLinks: 32,
 };
--- a/packages/fleet/src/core/peers/socket.ts
+++ b/packages/fleet/src/core/peers/socket.ts
@@ -1,12 +1,15 @@
-/** WebSocket that bounds what waits to be sent, counts bytes, and lets tests interfere with frames. */
+/**
+ * WebSocket that bounds its send buffer, counts sent frames and bytes, and lets tests drop, duplicate or
+ * delay frames.
+ */
 import type { Counter, TimerService } from '@celeryyoke/core';
 import type { ClientOptions } from 'ws';
 import { WebSocket } from 'ws';
 
 import type { LinkPolicy } from './types.js';
 
-/** What a socket needs to know of the bus. */
-export interface FrameGate {
+/** What a socket needs from its bus. */
+export interface SocketContext {
   readonly self: string;
   readonly timers: TimerService;
   readonly linkPolicy: LinkPolicy | undefined;
@@ -15,77 +18,75 @@
   readonly sentFrames: Counter;
 }
 
-/** Room for the envelope around a message. */
+/** Allowance for tRPC's envelope around a message, on top of the largest message. */
 export const ENVELOPE_BYTES = 4_096;
 
-/** One end of a connection between daemons. */
+/** One end of a WebSocket connection between daemons. */
 export class FrameSocket extends WebSocket {
-  private gate: FrameGate | undefined;
+  private context: SocketContext | undefined;
 
-  /** Name of the other end, as soon as it is known. */
+  /** Name of the daemon at the other end; empty until it is known. */
   peer = '';
 
   /**
-   * Joins the socket to a bus.
-   * @param gate - The bus.
+   * Connects the socket to its bus. `ws` constructs the sockets of a server itself, so this can't be a
+   * constructor parameter.
    */
-  join(gate: FrameGate): void {
-    this.gate = gate;
+  setContext(context: SocketContext): void {
+    this.context = context;
   }
 
   /**
-   * Sends a frame unless too much waits already; then the link is broken, as for a peer that stopped reading.
-   * @param data - The frame.
+   * Sends a frame. Terminates the connection instead when too many bytes wait to be sent, since the peer has
+   * stopped reading or reads too slowly.
    */
   override send(data: Parameters<WebSocket['send']>[0]): void {
-    const { gate } = this;
-    if (gate === undefined) {
+    const { context } = this;
+    if (context === undefined) {
       super.send(data);
       return;
     }
-    if (this.bufferedAmount > gate.maxBufferedBytes) {
+    if (this.bufferedAmount > context.maxBufferedBytes) {
       this.terminate();
       return;
     }
-    if (gate.linkPolicy === undefined) {
-      this.write(data, gate);
+    if (context.linkPolicy === undefined) {
+      this.writeFrame(data, context);
       return;
     }
-    for (const delay of gate.linkPolicy({ from: gate.self, to: this.peer })) {
-      if (delay <= 0) this.write(data, gate);
-      else gate.timers.after(delay, () => this.write(data, gate));
+    for (const delay of context.linkPolicy({ from: context.self, to: this.peer })) {
+      if (delay <= 0) this.writeFrame(data, context);
+      else context.timers.after(delay, () => this.writeFrame(data, context));
     }
   }
 
-  private write(data: Parameters<WebSocket['send']>[0], gate: FrameGate): void {
+  private writeFrame(data: Parameters<WebSocket['send']>[0], context: SocketContext): void {
     if (this.readyState !== WebSocket.OPEN) return;
-    if (data instanceof Uint8Array) gate.sentBytes.add(data.length);
-    gate.sentFrames.add();
+    if (data instanceof Uint8Array) context.sentBytes.add(data.length);
+    context.sentFrames.add();
     super.send(data);
   }
 }
 
 /**
- * Makes the class of sockets that one dial uses.
- * @param gate - The bus.
- * @param peer - The peer that is dialled.
- * @param maxPayload - Largest frame that is taken in.
- * @param onMade - Called with the socket.
- * @returns A class that tRPC's client can construct.
+ * Creates the socket class for one dial. tRPC's client constructs its sockets itself, so the parameters are
+ * bound to the class.
+ * @param maxPayload - Largest frame accepted, in bytes.
+ * @param onCreated - Called with each socket that is constructed.
  */
-export function dialSocketClass(
-  gate: FrameGate,
+export function createDialSocketClass(
+  context: SocketContext,
   peer: string,
   maxPayload: number,
-  onMade: (socket: FrameSocket) => void,
+  onCreated: (socket: FrameSocket) => void,
 ): new (address: string) => FrameSocket {
   const options: ClientOptions = { maxPayload, perMessageDeflate: false, skipUTF8Validation: true };
   return class DialSocket extends FrameSocket {
     constructor(address: string) {
       super(address, options);
-      this.join(gate);
+      this.setContext(context);
       this.peer = peer;
-      onMade(this);
+      onCreated(this);
     }
   };
 }
--- a/packages/fleet/src/core/peers/types.ts
+++ b/packages/fleet/src/core/peers/types.ts
@@ -1,14 +1,15 @@
-/** How daemons talk: typed calls and heartbeats, over tRPC. */
+/** Types of the peer bus: typed calls and heartbeats between daemons. */
 import type { AuditTrail, Log, Metrics, TimerService } from '@celeryyoke/core';
 
 /** Identity of a running daemon. */
 export interface PeerIdentity {
   /** Host name on the host list. */
   readonly name: string;
-  /** New at each start; a later start has a greater one. */
+  /** Identifies the process start; greater for a later start of the same host. */
   readonly incarnation: number;
+  /** Failure domain. */
   readonly domain: string;
-  /** Newest protocol version that it speaks. */
+  /** Newest protocol version that it supports. */
   readonly protocol: number;
 }
 
@@ -18,38 +19,38 @@
   readonly signal?: AbortSignal;
 }
 
-/** A part's share of the heartbeat; messages are bounded in size. */
+/** State that a module exchanges with peers in heartbeats; limited to `maxSectionBytes` of the settings. */
 export interface HeartbeatSection {
   /** Unique name of the section. */
   readonly name: string;
-  /** Makes what is sent to a peer; undefined for nothing. */
+  /** Returns the data to send to a peer; undefined sends nothing. */
   collect(peer: string): unknown;
-  /** Takes in what a peer sent. */
+  /** Merges the data that a peer sent. */
   absorb(from: PeerIdentity, data: unknown): void;
 }
 
-/** A handler of one procedure; its input is checked before it is called. */
+/** Handler of one procedure; called with validated input. */
 export type PeerHandler<Input, Output> = (input: Input, from: PeerIdentity) => Promise<Output>;
 
-/** A procedure between daemons, declared once by the part that serves it. */
+/** A procedure between daemons, declared once by the module that serves it. */
 export interface PeerProcedure<Input, Output> {
   /** Unique name, such as `lease.request`. */
   readonly name: string;
-  /** Checks an input that came over the wire; throws when it is wrong. */
+  /** Validates an input received from a peer; throws when it is invalid. */
   readonly parse: (raw: unknown) => Input;
   /** Carries the output's type only. */
   readonly output?: Output;
 }
 
-/** Links to the other daemons. */
+/** Calls to the other daemons, and state exchanged with them in heartbeats. */
 export interface PeerBus {
   readonly self: PeerIdentity;
-  /** Serves a procedure. */
+  /** Registers the handler of a procedure. */
   handle<Input, Output>(procedure: PeerProcedure<Input, Output>, handler: PeerHandler<Input, Output>): void;
   /**
-   * Calls a procedure at a peer; a call to this daemon itself does not leave the process.
+   * Calls a procedure at a peer. A call to this daemon itself runs the handler directly.
    * @throws CeleryyokeError PeerUnreachable, or the error that the handler threw. The parameter `sent` of
-   * PeerUnreachable is `no` when it is certain that the peer never got the call, else `maybe`.
+   * PeerUnreachable is `no` when the peer certainly did not receive the call, else `maybe`.
    */
   call<Input, Output>(
     peer: string,
@@ -57,7 +58,7 @@
     input: Input,
     options: PeerCallOptions,
   ): Promise<Output>;
-  /** Adds a section to the heartbeat. */
+  /** Registers a section of the heartbeat. */
   contribute(section: HeartbeatSection): void;
 }
 
@@ -68,89 +69,86 @@
   readonly address: string;
 }
 
-/** Whom the bus may know. */
+/** The peers of a bus. */
 export interface PeerDirectory {
-  /** Every daemon that may connect or be called. */
+  /** Daemons that may connect or be called; others are refused. */
   readonly listed: readonly PeerAddress[];
-  /** Names of those with which a link and its heartbeat are kept all the time. */
+  /** Names of those to which a link with heartbeats is kept open. */
   readonly linked: ReadonlySet<string>;
 }
 
-/** News of a link. */
+/** Kind of a link event. */
 export enum PeerEventKind {
-  /** A peer proved the key, here or there; its incarnation is known. */
-  Met = 'met',
-  /** A heartbeat was acknowledged by the peer, or one came from it. */
-  Heard = 'heard',
-  /** The link to the peer broke, or could not be made. */
+  /** A connection in either direction was authenticated; the incarnation of the peer is known. */
+  Authenticated = 'met',
+  /** The peer acknowledged a heartbeat or sent one. */
+  HeartbeatExchanged = 'heard',
+  /** A dialled connection ended, or could not be established; not emitted when an idle link is closed. */
   Lost = 'lost',
 }
 
-/** One piece of news of a link. */
+/** A change in the link to a peer, or a sign of life on it. */
 export interface PeerEvent {
   readonly kind: PeerEventKind;
   /** Name of the peer. */
   readonly name: string;
-  /** The peer itself; undefined when it was never met on this link. */
+  /** Identity of the peer; undefined when it was not authenticated on this connection. */
   readonly peer: PeerIdentity | undefined;
 }
 
-/** The peer bus as the process runs it. */
+/** The peer bus with its life cycle, for the process that runs it. */
 export interface ManagedPeerBus extends PeerBus {
   /**
-   * Begins to listen.
-   * @returns The port, also when the settings left the choice to the system.
+   * Starts to listen.
+   * @returns The port, also when the system chose it.
    */
   start(): Promise<number>;
-  /** Ends every link and stops listening. */
+  /** Closes every connection and stops listening. */
   stop(): Promise<void>;
-  /**
-   * Says whom the bus may know; strangers are refused.
-   * @param directory - The peers.
-   */
+  /** Replaces the set of peers; opens and closes links accordingly. */
   updatePeers(directory: PeerDirectory): void;
   /**
-   * Subscribes to news of links.
-   * @param listener - Called with each.
-   * @returns Ends the subscription.
+   * Subscribes to link events.
+   * @returns A function that ends the subscription.
    */
   subscribe(listener: (event: PeerEvent) => void): () => void;
 }
 
-/** Where a frame goes. */
+/** Sender and receiver of a frame. */
 export interface FrameRoute {
   readonly from: string;
   readonly to: string;
 }
 
 /**
- * Decides the fate of a frame on the sending side: one delay in milliseconds for each copy that is delivered.
- * None loses the frame, two duplicate it, and unequal delays reorder frames. For failure tests.
+ * Injects network faults on the sending side, for failure tests. Returns one delay in milliseconds for each
+ * copy of the frame that is delivered: an empty list drops the frame, two delays duplicate it, and unequal
+ * delays reorder frames.
  */
 export type LinkPolicy = (route: FrameRoute) => readonly number[];
 
-/** Bounds and intervals of the bus. */
+/** Limits and intervals of the bus. */
 export interface PeerSettings {
   /** Interval between heartbeats to a peer. */
   readonly heartbeatMs: number;
-  /** A heartbeat that is not acknowledged in this time breaks the link. */
+  /** The connection is closed when a heartbeat is not acknowledged in this time. */
   readonly heartbeatTimeoutMs: number;
-  /** Time for a connection to be opened and both keys to be proved. */
+  /** Timeout for opening a connection and completing the handshake. */
   readonly dialTimeoutMs: number;
-  /** First wait before a broken link is dialled again. */
+  /** Base of the exponential backoff before a failed link is dialled again. */
   readonly backoffMinMs: number;
-  /** Longest wait before a broken link is dialled again. */
+  /** Upper limit of the backoff before a failed link is dialled again. */
   readonly backoffMaxMs: number;
-  /** A link that was made for calls only ends when it was not used for this time. */
+  /** A link without heartbeats is closed when no call has used it for this time. */
   readonly idleLinkMs: number;
-  /** Largest message, either way. */
+  /** Largest message in either direction. */
   readonly maxMessageBytes: number;
   /** Largest section of a heartbeat; a larger one is left out and logged. */
   readonly maxSectionBytes: number;
-  /** Bytes that may wait for a peer that reads slowly; beyond them the link breaks. */
+  /** Send buffer of a connection; one that exceeds it, because its peer reads slowly, is closed. */
   readonly maxBufferedBytes: number;
-  /** Connections that have not proved the key yet; beyond them new ones are closed. */
-  readonly maxUnprovedLinks: number;
+  /** Limit of accepted connections that are not authenticated yet; further ones are closed. */
+  readonly maxUnauthenticatedLinks: number;
 }
 
 /** Options of the peer bus. */
@@ -160,17 +158,20 @@
   readonly host: string;
   /** Port to listen on; 0 leaves the choice to the system. */
   readonly port: number;
-  /** Shared keys that are valid now; the first is used to prove, all are accepted. */
+  /**
+   * Shared keys that are valid now. Dialling uses the first, all are accepted; this allows keys to be
+   * rotated.
+   */
   readonly keys: () => readonly string[];
   readonly timers: TimerService;
   readonly log: Log;
   readonly audit: AuditTrail;
   readonly metrics: Metrics;
   readonly settings?: Partial<PeerSettings>;
-  /** Oldest protocol version that this daemon still speaks; the newest is in its identity. */
+  /** Oldest protocol version that this daemon supports; the newest is in its identity. */
   readonly oldestProtocol?: number;
-  /** Spreads redials; a number from 0 to 1. */
+  /** Random numbers from 0 to 1 for the jitter of the backoff; `Math.random` by default. */
   readonly random?: () => number;
-  /** Interferes with frames, for failure tests. */
+  /** Injects network faults, for failure tests. */
   readonly linkPolicy?: LinkPolicy;
 }
--- a/packages/fleet/src/core/peers/wire-errors.ts
+++ b/packages/fleet/src/core/peers/wire-errors.ts
@@ -1,4 +1,4 @@
-/** Carries errors between daemons with their result code. */
+/** Serialises errors between daemons, so that they keep their result code. */
 import type { ErrorName } from '@celeryyoke/core';
 import { CeleryyokeError, ERROR_CATALOGUE, toCeleryyokeError } from '@celeryyoke/core';
 import { TRPCClientError } from '@trpc/client';
@@ -14,23 +14,15 @@
   retryAfter: z.number().optional(),
 });
 
-/** An error as it crosses the wire; its stack stays at home. */
+/** An error as it is sent to a peer, without its stack trace. */
 export type WireError = z.infer<typeof wireErrorSchema>;
 
-/**
- * Wraps an error so that tRPC carries it.
- * @param thrown - What a handler threw.
- * @returns What the router throws.
- */
+/** Wraps an error that a handler threw in the error type that tRPC serialises. */
 export function toRouterError(thrown: unknown): TRPCError {
   return new TRPCError({ code: 'INTERNAL_SERVER_ERROR', cause: toCeleryyokeError(thrown) });
 }
 
-/**
- * Describes an error for the wire.
- * @param error - What the router threw.
- * @returns The description.
- */
+/** Converts an error of the router into its form on the wire. */
 export function toWireError(error: TRPCError): WireError {
   const { kind, message, params, retryAfter } = toCeleryyokeError(error.cause ?? error);
   return { kind, message, params: { ...params }, ...(retryAfter === undefined ? {} : { retryAfter }) };
@@ -41,16 +33,16 @@
 }
 
 /**
- * Rebuilds the error that a peer threw.
- * @param thrown - What the client got.
- * @returns The error, or undefined when the peer threw none and the link itself failed.
+ * Restores the error that a peer threw.
+ * @param thrown - What tRPC's client threw.
+ * @returns The error, or undefined when the connection failed and not the peer's handler.
  */
 export function fromWireError(thrown: unknown): CeleryyokeError | undefined {
   if (!(thrown instanceof TRPCClientError)) return undefined;
   const parsed = wireErrorSchema.safeParse(thrown.data);
   if (!parsed.success) return undefined;
   const { kind, message, params, retryAfter } = parsed.data;
-  // A peer of a newer version may throw an error that this build does not know.
+  // A peer of a newer version may throw an error kind that this build does not know.
   if (!isKnown(kind)) return new CeleryyokeError('Internal', { reason: `${kind}: ${message}` });
   return new CeleryyokeError(kind, params, retryAfter === undefined ? {} : { retryAfter });
 }
