--- a/packages/fleet/src/core/membership/membership.ts
+++ b/packages/fleet/src/core/membership/membership.ts
@@ -4,10 +4,10 @@
 import type { HostEntry } from '@celeryyoke/platform';
 import { HostRole } from '@celeryyoke/platform';
 
-import { ListGate, Verdict } from './gate.js';
+import { ListGate, Verdict } from './list-validator.js';
 import { chooseNeighbours } from './neighbours.js';
 import { PauseDetector } from './pauses.js';
-import { HeardPeers } from './peers-heard.js';
+import { HeardPeers } from './peer-status.js';
 import type { Reading, ReadOutcome } from './reader.js';
 import { ListReader } from './reader.js';
 import { DEFAULT_MEMBERSHIP_SETTINGS } from './settings.js';
