--- a/packages/fleet/src/core/membership/list-validator.ts
+++ b/packages/fleet/src/core/membership/list-validator.ts
@@ -1,37 +1,37 @@
-/** Decides whether a reading of the host list may replace the one in force. */
+/** Decides whether a host list that was read may replace the one in use. */
 import { HostRole, HostState } from '@celeryyoke/platform';
 
 import type { HostTable } from './view.js';
 
-/** What becomes of a reading. */
+/** Result of the validation of a host list. */
 export enum Verdict {
   Accept = 'accept',
-  /** It is an older version than the one in force. */
+  /** Its version is older than that of the list in use. */
   Older = 'older',
-  /** It loses too many hosts at once, or all of them. */
+  /** It lacks too many hosts of the list in use, or has no entry hosts. */
   Suspicious = 'suspicious',
 }
 
-/** Options of the gate. */
-export interface GateOptions {
+/** Options of {@link ListValidator}; see the membership settings of the same names. */
+export interface ListValidatorOptions {
   readonly panicShare: number;
   readonly panicHoldMs: number;
   readonly versionResetMs: number;
 }
 
-/** Fewer hosts lost than this are no reason for panic, however small the fleet is. */
-const PANIC_MIN_LOST = 2;
+/** Losing fewer hosts than this is never suspicious, however large their share of a small fleet is. */
+const PANIC_MIN_LOST_HOSTS = 2;
 
-/** Counts hosts that were live and are not listed any more; those that announced their leaving don't count. */
+/** Counts hosts that were live and are no longer listed; those that were leaving before don't count. */
 function countLost(role: HostRole, last: HostTable, next: HostTable): number {
   const lost = last.ofRole(role).filter(({ name, state }) => state === HostState.Live && !next.find(name));
   return lost.length;
 }
 
-function losesMost(last: HostTable, next: HostTable, share: number): boolean {
+function exceedsPanicShare(last: HostTable, next: HostTable, share: number): boolean {
   return Object.values(HostRole).some((role) => {
     const lost = countLost(role, last, next);
-    return lost >= PANIC_MIN_LOST && lost > share * last.ofRole(role).length;
+    return lost >= PANIC_MIN_LOST_HOSTS && lost > share * last.ofRole(role).length;
   });
 }
 
@@ -39,41 +39,43 @@
   return last.version !== undefined && next.version !== undefined && next.version < last.version;
 }
 
-/** The gate; it holds back what looks wrong until it was read without a break for long enough. */
-export class ListGate {
-  private doubt = Verdict.Accept;
+/**
+ * Holds back a list that looks wrong until all reads have given the same verdict for the hold time; then it
+ * is accepted.
+ */
+export class ListValidator {
+  private pendingVerdict = Verdict.Accept;
 
-  private doubtSince = 0;
+  private pendingSince = 0;
 
-  constructor(private readonly options: GateOptions) {}
+  constructor(private readonly options: ListValidatorOptions) {}
 
   /**
-   * Judges a reading.
-   * @param last - The table in force.
-   * @param next - The reading.
-   * @param now - Monotonic time.
-   * @returns What becomes of it.
+   * Validates a list that was read.
+   * @param last - The list in use.
+   * @param next - The list that was read.
+   * @param now - Monotonic time in milliseconds.
    */
-  judge(last: HostTable | undefined, next: HostTable, now: number): Verdict {
-    const verdict = this.look(last, next);
-    if (verdict !== this.doubt) {
-      this.doubt = verdict;
-      this.doubtSince = now;
+  validate(last: HostTable | undefined, next: HostTable, now: number): Verdict {
+    const verdict = this.classify(last, next);
+    if (verdict !== this.pendingVerdict) {
+      this.pendingVerdict = verdict;
+      this.pendingSince = now;
     }
-    if (verdict === Verdict.Accept || now - this.doubtSince < this.patience(verdict, next)) return verdict;
-    this.doubt = Verdict.Accept;
+    if (verdict === Verdict.Accept || now - this.pendingSince < this.holdMs(verdict, next)) return verdict;
+    this.pendingVerdict = Verdict.Accept;
     return Verdict.Accept;
   }
 
-  private look(last: HostTable | undefined, next: HostTable): Verdict {
-    // This daemon runs, so a list without any entry host is wrong.
+  private classify(last: HostTable | undefined, next: HostTable): Verdict {
+    // This daemon is an entry host itself, so a list without entry hosts is wrong; it is never accepted.
     if (next.ofRole(HostRole.Entry).length === 0) return Verdict.Suspicious;
     if (last === undefined || last === next) return Verdict.Accept;
     if (isOlder(last, next)) return Verdict.Older;
-    return losesMost(last, next, this.options.panicShare) ? Verdict.Suspicious : Verdict.Accept;
+    return exceedsPanicShare(last, next, this.options.panicShare) ? Verdict.Suspicious : Verdict.Accept;
   }
 
-  private patience(verdict: Verdict, next: HostTable): number {
+  private holdMs(verdict: Verdict, next: HostTable): number {
     if (next.ofRole(HostRole.Entry).length === 0) return Infinity;
     return verdict === Verdict.Older ? this.options.versionResetMs : this.options.panicHoldMs;
   }
--- a/packages/fleet/src/core/membership/membership.ts
+++ b/packages/fleet/src/core/membership/membership.ts
@@ -1,21 +1,26 @@
-/** Keeps one daemon's view of the hosts fresh. */
+/**
+ * Maintains this daemon's view of the hosts: reads the host list regularly, validates it, updates the links
+ * to peers, and detects pauses of the process, after which the view must be confirmed before it is used.
+ */
 import type { Log, Task } from '@celeryyoke/core';
 import { AuditKind, runTask } from '@celeryyoke/core';
 import type { HostEntry } from '@celeryyoke/platform';
 import { HostRole } from '@celeryyoke/platform';
 
-import { ListGate, Verdict } from './list-validator.js';
+import { ListValidator, Verdict } from './list-validator.js';
 import { chooseNeighbours } from './neighbours.js';
 import { PauseDetector } from './pauses.js';
-import { HeardPeers } from './peer-status.js';
-import type { Reading, ReadOutcome } from './reader.js';
+import { PeerStatusTable } from './peer-status.js';
+import type { ListReading, ReadOutcome } from './reader.js';
 import { ListReader } from './reader.js';
 import { DEFAULT_MEMBERSHIP_SETTINGS } from './settings.js';
 import type { ManagedMembership, MembershipOptions, MembershipSettings, Reach } from './types.js';
 import type { HostTable } from './view.js';
-import { AgedView, tableOf } from './view.js';
+import { ListView, toHostTable } from './view.js';
 
-/** Share of the known daemons, this one included, that must confirm a view which can't be renewed. */
+/**
+ * Share of the known daemons, this one included, that must confirm a view when the platform can't be read.
+ */
 export const CONFIRMING_SHARE = 2 / 3;
 
 function describe(table: HostTable | undefined): unknown {
@@ -23,15 +28,15 @@
   return { version: table.version, hosts: table.hosts.length, entries: table.ofRole(HostRole.Entry).length };
 }
 
-/** Membership over the platform's host list and the peer bus. */
+/** Membership based on the platform's host list and on heartbeats over the peer bus. */
 class ListMembership implements ManagedMembership {
   private readonly settings: MembershipSettings;
 
   private readonly log: Log;
 
-  private readonly gate: ListGate;
+  private readonly validator: ListValidator;
 
-  private readonly heard: HeardPeers;
+  private readonly peerStatus: PeerStatusTable;
 
   private readonly pauses: PauseDetector;
 
@@ -39,11 +44,11 @@
 
   private readonly listeners = new Set<() => void>();
 
-  private readonly pins = new Map<string, readonly string[]>();
+  private readonly pinnedPeers = new Map<string, readonly string[]>();
 
   private linked: ReadonlySet<string> = new Set();
 
-  private view: AgedView | undefined;
+  private view: ListView | undefined;
 
   private lastVerdict = Verdict.Accept;
 
@@ -56,26 +61,26 @@
     const settings = { ...DEFAULT_MEMBERSHIP_SETTINGS, ...options.settings };
     this.settings = settings;
     this.log = options.log.part('membership');
-    this.gate = new ListGate(settings);
-    this.heard = new HeardPeers(timers, settings.suspectMs);
-    this.pauses = new PauseDetector({ ...settings, timers, onPause: (ms) => this.notePause(ms) });
+    this.validator = new ListValidator(settings);
+    this.peerStatus = new PeerStatusTable(timers, settings.suspectMs);
+    this.pauses = new PauseDetector({ ...settings, timers, onPause: (ms) => this.reportPause(ms) });
     this.reader = new ListReader({
       source,
       bus,
       timers,
       settings,
       random,
-      current: () => this.view,
-      reachable: () => [...this.linked].filter((name) => this.heard.answers(name)),
-      daemons: () => this.hosts(HostRole.Entry).length,
+      currentView: () => this.view,
+      reachablePeers: () => [...this.linked].filter((name) => this.peerStatus.isResponsive(name)),
+      daemonCount: () => this.hosts(HostRole.Entry).length,
     });
     bus.contribute({
       name: 'membership',
       collect: () => this.view?.table.entryDigest,
-      absorb: (from, data) => this.heard.noteDigest(from.name, String(data)),
+      absorb: (from, data) => this.peerStatus.setDigest(from.name, String(data)),
     });
     this.unsubscribe = bus.subscribe((event) => {
-      if (this.heard.note(event)) this.notify();
+      if (this.peerStatus.recordEvent(event)) this.notifyListeners();
     });
   }
 
@@ -103,13 +108,13 @@
 
   isReachable(peer: string): boolean {
     if (peer === this.options.bus.self.name) return true;
-    if (this.linked.has(peer)) return this.heard.answers(peer);
-    return this.isLive(peer) && !this.heard.isLost(peer);
+    if (this.linked.has(peer)) return this.peerStatus.isResponsive(peer);
+    return this.isLive(peer) && !this.peerStatus.isLinkLost(peer);
   }
 
   incarnation(peer: string): number | undefined {
     const { self } = this.options.bus;
-    return peer === self.name ? self.incarnation : this.heard.incarnation(peer);
+    return peer === self.name ? self.incarnation : this.peerStatus.incarnationOf(peer);
   }
 
   ageMs(): number {
@@ -117,7 +122,7 @@
   }
 
   isDoubtful(): boolean {
-    return this.pauses.isDoubtful();
+    return this.pauses.needsConfirmation();
   }
 
   digest(): string {
@@ -129,14 +134,14 @@
   }
 
   reach(): Reach {
-    const staying = [...this.linked].filter((name) => this.isLive(name));
+    const linkedLive = [...this.linked].filter((name) => this.isLive(name));
     const digest = this.view?.table.entryDigest ?? '';
-    const agreeing = staying.filter((name) => this.heard.agrees(name, digest));
-    return { agreeing: agreeing.length + 1, known: staying.length + 1 };
+    const agreeing = linkedLive.filter((name) => this.peerStatus.hasSameEntries(name, digest));
+    return { agreeing: agreeing.length + 1, known: linkedLive.length + 1 };
   }
 
   pin(purpose: string, peers: readonly string[]): void {
-    this.pins.set(purpose, peers);
+    this.pinnedPeers.set(purpose, peers);
     this.updateLinks();
   }
 
@@ -147,36 +152,36 @@
 
   private *run(signal: AbortSignal): Generator<unknown, void> {
     for (;;) {
-      const outcome = (yield this.reader.read(this.pauses.isDoubtful())) as ReadOutcome;
-      if (outcome.reading !== undefined) this.takeIn(outcome.reading);
-      this.confirm(outcome);
+      const outcome = (yield this.reader.read(this.pauses.needsConfirmation())) as ReadOutcome;
+      if (outcome.reading !== undefined) this.applyReading(outcome.reading);
+      this.confirmWithPeers(outcome);
       yield this.options.timers.sleep(this.settings.pollMs, signal);
     }
   }
 
-  private takeIn({ list, begun }: Reading): void {
+  private applyReading({ list, startedAt }: ListReading): void {
     const { view } = this;
-    // What a peer has read may be older than what this daemon has read itself.
-    if (view !== undefined && begun.now <= view.begun.now) return;
-    const table = tableOf(list, view?.table);
-    const verdict = this.gate.judge(view?.table, table, this.options.timers.now());
-    this.noteVerdict(verdict, table);
+    // A list from a peer may have been read before the one in use.
+    if (view !== undefined && startedAt.now <= view.startedAt.now) return;
+    const table = toHostTable(list, view?.table);
+    const verdict = this.validator.validate(view?.table, table, this.options.timers.now());
+    this.reportVerdict(verdict, table);
     if (verdict !== Verdict.Accept) return;
-    this.view = new AgedView(table, begun);
-    this.pauses.renew(begun.now);
+    this.view = new ListView(table, startedAt);
+    this.pauses.recordConfirmation(startedAt.now);
     if (table !== view?.table) {
-      this.heard.prune((name) => table.find(name) !== undefined);
+      this.peerStatus.retain((name) => table.find(name) !== undefined);
       this.updateLinks();
     }
-    this.notify();
+    this.notifyListeners();
   }
 
   /**
-   * Ends the doubt after a pause when the platform can't be read: most peers, asked after the pause, know no
-   * newer list than this daemon, so nothing can have been decided without it.
+   * Confirms the view after a pause when the platform can't be read but enough peers responded: asked after
+   * the pause, they know no newer list than this daemon, so nothing can have been decided without it.
    */
-  private confirm({ askedAt, answers }: ReadOutcome): void {
-    if (answers + 1 >= CONFIRMING_SHARE * this.reach().known) this.pauses.renew(askedAt);
+  private confirmWithPeers({ startedAt, responses }: ReadOutcome): void {
+    if (responses + 1 >= CONFIRMING_SHARE * this.reach().known) this.pauses.recordConfirmation(startedAt);
   }
 
   private updateLinks(): void {
@@ -184,18 +189,20 @@
     const entries = this.hosts(HostRole.Entry);
     const names = entries.map(({ name }) => name);
     const linked = new Set(chooseNeighbours(bus.self.name, names, this.settings.maxPeers));
-    for (const peers of this.pins.values()) for (const name of peers) linked.add(name);
+    for (const peers of this.pinnedPeers.values()) for (const name of peers) linked.add(name);
     linked.delete(bus.self.name);
     this.linked = linked;
     bus.updatePeers({ listed: entries.map(({ name, address }) => ({ name, address })), linked });
   }
 
-  private noteVerdict(verdict: Verdict, table: HostTable): void {
+  private reportVerdict(verdict: Verdict, table: HostTable): void {
     if (verdict === this.lastVerdict) return;
     const before = this.lastVerdict;
     this.lastVerdict = verdict;
     const isHeld = verdict !== Verdict.Accept;
-    const cause = isHeld ? `The list looks ${verdict}.` : `The list is taken again (it looked ${before}).`;
+    const cause = isHeld
+      ? `Held back a host list that looks ${verdict}.`
+      : `Host lists are accepted again; the last one that was held back looked ${before}.`;
     this.log.warn(cause);
     this.options.audit.record({
       kind: isHeld ? AuditKind.HostListHeld : AuditKind.HostListTaken,
@@ -206,23 +213,19 @@
     });
   }
 
-  private notePause(ms: number): void {
-    const cause = `This process stood still for about ${Math.round(ms)} ms.`;
+  private reportPause(ms: number): void {
+    const cause = `This process was paused for about ${Math.round(ms)} ms.`;
     this.log.warn(cause);
     const { audit, bus } = this.options;
     audit.record({ kind: AuditKind.PauseNoticed, subject: bus.self.name, cause });
   }
 
-  private notify(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
 
-/**
- * Makes membership; it reads the host list after its start.
- * @param options - Source, bus, time and bounds.
- * @returns Membership.
- */
+/** Creates membership. It reads the host list from {@link ManagedMembership.start} on. */
 export function createMembership(options: MembershipOptions): ManagedMembership {
   return new ListMembership(options);
 }
--- a/packages/fleet/src/core/membership/pauses.ts
+++ b/packages/fleet/src/core/membership/pauses.ts
@@ -1,4 +1,4 @@
-/** Notices that the process was paused. */
+/** Detects that the process was paused, for example by a suspended machine. */
 import type { TimerHandle, TimerService } from '@celeryyoke/core';
 
 import type { Moment } from './clocks.js';
@@ -9,39 +9,44 @@
   readonly timers: TimerService;
   readonly tickMs: number;
   readonly pauseMs: number;
-  /** Called once for each pause, with its length as far as it is known. */
+  /** Called once for each pause, with its approximate length in milliseconds. */
   readonly onPause: (ms: number) => void;
 }
 
-/** Compares the clocks at each tick, and whenever it is asked, with the last tick. */
+/**
+ * Compares the clocks with the last tick, at each tick and at each call, so that a pause shows before a timer
+ * fires.
+ */
 export class PauseDetector {
-  private last: Moment;
+  private lastTick: Moment;
 
-  private noticedAt: number | undefined;
+  private pauseDetectedAt: number | undefined;
 
   private readonly tick: TimerHandle;
 
   constructor(private readonly options: PauseDetectorOptions) {
-    this.last = readClocks(options.timers);
+    this.lastTick = readClocks(options.timers);
     this.tick = options.timers.repeat(options.tickMs, () => {
-      this.check();
-      this.last = readClocks(options.timers);
+      this.detectPause();
+      this.lastTick = readClocks(options.timers);
     });
   }
 
-  /** Whether a pause was noticed after which nothing was renewed; it looks at the clocks itself. */
-  isDoubtful(): boolean {
-    this.check();
-    return this.noticedAt !== undefined;
+  /** Whether the view was not confirmed since the last pause; checks the clocks first. */
+  needsConfirmation(): boolean {
+    this.detectPause();
+    return this.pauseDetectedAt !== undefined;
   }
 
   /**
-   * Ends the doubt.
-   * @param begunAt - Monotonic time when the read that renews was begun; one begun before the pause renews nothing.
+   * Records that the view was read again or confirmed by peers. Does nothing if that was started before the
+   * last pause.
+   * @param startedAt - Monotonic time in milliseconds when the read was started.
    */
-  renew(begunAt: number): void {
-    this.check();
-    if (this.noticedAt !== undefined && begunAt >= this.noticedAt) this.noticedAt = undefined;
+  recordConfirmation(startedAt: number): void {
+    this.detectPause();
+    if (this.pauseDetectedAt !== undefined && startedAt >= this.pauseDetectedAt)
+      this.pauseDetectedAt = undefined;
   }
 
   /** Stops the ticks. */
@@ -49,12 +54,12 @@
     this.tick.cancel();
   }
 
-  private check(): void {
+  private detectPause(): void {
     const { timers, tickMs, pauseMs, onPause } = this.options;
-    const elapsed = elapsedSince(this.last, timers);
+    const elapsed = elapsedSince(this.lastTick, timers);
     if (elapsed <= tickMs + pauseMs) return;
-    this.last = readClocks(timers);
-    this.noticedAt = this.last.now;
+    this.lastTick = readClocks(timers);
+    this.pauseDetectedAt = this.lastTick.now;
     onPause(elapsed);
   }
 }
--- a/packages/fleet/src/core/membership/peer-status.ts
+++ b/packages/fleet/src/core/membership/peer-status.ts
@@ -1,21 +1,21 @@
-/** Which peers were heard, and when. */
+/** Tracks the incarnation, last heartbeat and published view of each peer. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { PeerEvent } from '../peers/index.js';
 import { PeerEventKind } from '../peers/index.js';
 
-/** What is known of one peer. */
-interface HeardPeer {
+/** Status of one peer. */
+interface PeerStatus {
   incarnation: number | undefined;
-  heardAt: number;
-  isLost: boolean;
-  /** Digest of the live entry hosts that the peer lists. */
+  lastSeenAt: number;
+  isLinkLost: boolean;
+  /** Digest of the live entry hosts in the peer's view; empty until it was published. */
   digest: string;
 }
 
-/** The peers that were heard. */
-export class HeardPeers {
-  private readonly peers = new Map<string, HeardPeer>();
+/** Status of the peers by name, updated from link events and heartbeats. */
+export class PeerStatusTable {
+  private readonly peers = new Map<string, PeerStatus>();
 
   constructor(
     private readonly timers: TimerService,
@@ -23,62 +23,57 @@
   ) {}
 
   /**
-   * Takes in news of a link.
-   * @param event - The news.
+   * Updates the status of a peer from an event of its link.
    * @returns Whether the peer's incarnation changed.
    */
-  note({ kind, name, peer }: PeerEvent): boolean {
+  recordEvent({ kind, name, peer }: PeerEvent): boolean {
     const known = this.peers.get(name) ?? {
       incarnation: undefined,
-      heardAt: -Infinity,
-      isLost: false,
+      lastSeenAt: -Infinity,
+      isLinkLost: false,
       digest: '',
     };
     this.peers.set(name, known);
-    known.isLost = kind === PeerEventKind.Lost;
-    if (peer === undefined || known.isLost) return false;
-    known.heardAt = this.timers.now();
+    known.isLinkLost = kind === PeerEventKind.Lost;
+    if (peer === undefined || known.isLinkLost) return false;
+    known.lastSeenAt = this.timers.now();
     const isNew = known.incarnation !== peer.incarnation;
     known.incarnation = peer.incarnation;
     return isNew;
   }
 
-  /**
-   * Notes which entry hosts a peer lists.
-   * @param name - The peer.
-   * @param digest - Digest of its live entry hosts.
-   */
-  noteDigest(name: string, digest: string): void {
+  /** Records the digest of the live entry hosts in a peer's view. */
+  setDigest(name: string, digest: string): void {
     const known = this.peers.get(name);
     if (known !== undefined) known.digest = digest;
   }
 
-  /** Whether a peer answers heartbeats and lists the same entry hosts. */
-  agrees(name: string, digest: string): boolean {
-    return this.answers(name) && this.peers.get(name)?.digest === digest;
+  /** Whether a peer responds to heartbeats and its view has the same live entry hosts. */
+  hasSameEntries(name: string, digest: string): boolean {
+    return this.isResponsive(name) && this.peers.get(name)?.digest === digest;
   }
 
-  /** Incarnation of a peer. */
-  incarnation(name: string): number | undefined {
+  /** Last known incarnation of a peer; undefined when it was never authenticated. */
+  incarnationOf(name: string): number | undefined {
     return this.peers.get(name)?.incarnation;
   }
 
-  /** Whether a peer to which a link is kept answers heartbeats. */
-  answers(name: string): boolean {
+  /** Whether a peer to which a link is kept has exchanged a heartbeat within `suspectMs`. */
+  isResponsive(name: string): boolean {
     const known = this.peers.get(name);
-    return known !== undefined && this.timers.now() - known.heardAt <= this.suspectMs;
+    return known !== undefined && this.timers.now() - known.lastSeenAt <= this.suspectMs;
   }
 
-  /** Whether the last link to a peer broke or could not be made. */
-  isLost(name: string): boolean {
-    return this.peers.get(name)?.isLost ?? false;
+  /** Whether the last connection to a peer failed or could not be established. */
+  isLinkLost(name: string): boolean {
+    return this.peers.get(name)?.isLinkLost ?? false;
   }
 
   /**
-   * Forgets peers.
-   * @param isKept - Whether a peer is still listed.
+   * Removes the peers that are no longer listed.
+   * @param isListed - Whether a peer is still listed.
    */
-  prune(isKept: (name: string) => boolean): void {
-    for (const name of this.peers.keys()) if (!isKept(name)) this.peers.delete(name);
+  retain(isListed: (name: string) => boolean): void {
+    for (const name of this.peers.keys()) if (!isListed(name)) this.peers.delete(name);
   }
 }
--- a/packages/fleet/src/core/membership/reader.ts
+++ b/packages/fleet/src/core/membership/reader.ts
@@ -1,4 +1,4 @@
-/** Reads the host list, from the platform or through a peer that has read it. */
+/** Reads the host list from the platform, or from peers that have read it. */
 import type { TimerService } from '@celeryyoke/core';
 import type { HostListSource, HostListView } from '@celeryyoke/platform';
 
@@ -6,29 +6,29 @@
 import type { Moment } from './clocks.js';
 import { readClocks } from './clocks.js';
 import type { MembershipSettings } from './types.js';
-import type { AgedView } from './view.js';
-import { parseAnswer, VIEW_PROCEDURE } from './wire.js';
+import type { ListView } from './view.js';
+import { parseViewResponse, VIEW_PROCEDURE } from './wire.js';
 
-/** How many peers are asked at once instead of the platform; the younger view is taken. */
-const PEERS_EACH_ROUND = 2;
+/** Number of peers that are asked in parallel in place of the platform; the most recent view is used. */
+const PEERS_PER_READ = 2;
 
-/** How many peers are asked at once when the platform can't be read. */
-const PEERS_WHEN_DOWN = 3;
+/** Number of peers that are asked in parallel when the platform can't be read. */
+const PEERS_PER_FALLBACK_READ = 3;
 
-/** A reading and when it was begun. */
-export interface Reading {
+/** A host list and when its read was started. */
+export interface ListReading {
   readonly list: HostListView;
-  readonly begun: Moment;
+  readonly startedAt: Moment;
 }
 
-/** What one round of reading found. */
+/** Result of one read. */
 export interface ReadOutcome {
-  /** The newest reading. */
-  readonly reading: Reading | undefined;
-  /** Monotonic time when the round was begun. */
-  readonly askedAt: number;
-  /** How many peers told their view. */
-  readonly answers: number;
+  /** The most recent list; undefined when neither the platform nor a peer returned one. */
+  readonly reading: ListReading | undefined;
+  /** Monotonic time in milliseconds when the read was started. */
+  readonly startedAt: number;
+  /** Number of peers that returned their view; 0 when the platform was read. */
+  readonly responses: number;
 }
 
 /** Options of the reader. */
@@ -38,106 +38,109 @@
   readonly timers: TimerService;
   readonly settings: MembershipSettings;
   readonly random: () => number;
-  /** The view in force. */
-  readonly current: () => AgedView | undefined;
+  /** The view in use. */
+  readonly currentView: () => ListView | undefined;
   /** Peers that can be asked. */
-  readonly reachable: () => readonly string[];
-  /** Number of daemons. */
-  readonly daemons: () => number;
+  readonly reachablePeers: () => readonly string[];
+  /** Number of daemons in the fleet. */
+  readonly daemonCount: () => number;
 }
 
-/** The reader. */
+/** Reads the host list for this daemon, and serves its view to peers. */
 export class ListReader {
   constructor(private readonly options: ReaderOptions) {
-    options.bus.handle(VIEW_PROCEDURE, ({ digest }) => Promise.resolve(this.answer(digest)));
+    options.bus.handle(VIEW_PROCEDURE, ({ digest }) => Promise.resolve(this.viewResponse(digest)));
   }
 
   /**
-   * Reads once. In a large fleet most daemons ask a peer, so that the load on the platform stays bounded;
-   * when the platform can't be read, a peer may still have been able to.
-   * @param askAll - Whether all peers are to be asked when the platform can't be read.
-   * @returns What was found.
+   * Reads the list once. In a large fleet most daemons ask peers, so that the load on the platform stays
+   * bounded. Peers are also asked when the platform can't be read, since some of them may still have read it.
+   * @param asksAllPeers - Whether all reachable peers are asked when the platform can't be read, not only
+   * some.
    */
-  async read(askAll: boolean): Promise<ReadOutcome> {
-    const { random, settings, daemons, reachable, timers } = this.options;
-    const reads = (daemons() * 1000) / settings.pollMs;
-    const isMyTurn = random() * reads < settings.fleetReadsPerSecond;
-    if (!isMyTurn && this.isFresh()) {
-      const heard = await this.askPeers(PEERS_EACH_ROUND);
-      if (heard.reading !== undefined) return heard;
+  async read(asksAllPeers: boolean): Promise<ReadOutcome> {
+    const { random, settings, daemonCount, reachablePeers, timers } = this.options;
+    const reads = (daemonCount() * 1000) / settings.pollMs;
+    const readsPlatform = random() * reads < settings.fleetReadsPerSecond;
+    if (!readsPlatform && this.isFresh()) {
+      const outcome = await this.readFromPeers(PEERS_PER_READ);
+      if (outcome.reading !== undefined) return outcome;
     }
-    const askedAt = timers.now();
+    const startedAt = timers.now();
     const reading = await this.readPlatform();
-    if (reading !== undefined) return { reading, askedAt, answers: 0 };
-    return this.askPeers(askAll ? reachable().length : PEERS_WHEN_DOWN);
+    if (reading !== undefined) return { reading, startedAt, responses: 0 };
+    return this.readFromPeers(asksAllPeers ? reachablePeers().length : PEERS_PER_FALLBACK_READ);
   }
 
   private isFresh(): boolean {
-    const { current, timers, settings } = this.options;
-    const view = current();
+    const { currentView, timers, settings } = this.options;
+    const view = currentView();
     return view !== undefined && view.ageMs(timers) < 3 * settings.pollMs;
   }
 
-  private async readPlatform(): Promise<Reading | undefined> {
+  private async readPlatform(): Promise<ListReading | undefined> {
     const { source, timers, settings } = this.options;
     const before = readClocks(timers);
     try {
       const list = await source.read(settings.readTimeoutMs);
-      // The wall clock is read at the same moment as the source reads the monotonic one.
-      return { list, begun: { now: list.readAt, wall: before.wall + list.readAt - before.now } };
+      // The wall-clock time that corresponds to the monotonic time of the source's read.
+      return { list, startedAt: { now: list.readAt, wall: before.wall + list.readAt - before.now } };
     } catch {
       return undefined;
     }
   }
 
-  private async askPeers(most: number): Promise<ReadOutcome> {
-    const askedAt = this.options.timers.now();
-    const names = this.choosePeers(most);
-    const readings = await Promise.all(names.map((name) => this.askPeer(name)));
-    let newest: Reading | undefined;
-    let answers = 0;
+  private async readFromPeers(max: number): Promise<ReadOutcome> {
+    const startedAt = this.options.timers.now();
+    const names = this.choosePeers(max);
+    const readings = await Promise.all(names.map((name) => this.readFromPeer(name)));
+    let newest: ListReading | undefined;
+    let responses = 0;
     for (const reading of readings) {
-      if (reading !== undefined) answers += 1;
-      if (reading !== undefined && (newest === undefined || reading.begun.now > newest.begun.now))
+      if (reading !== undefined) responses += 1;
+      if (reading !== undefined && (newest === undefined || reading.startedAt.now > newest.startedAt.now))
         newest = reading;
     }
-    return { reading: newest, askedAt, answers };
+    return { reading: newest, startedAt, responses };
   }
 
-  private choosePeers(most: number): readonly string[] {
-    const { random, reachable } = this.options;
-    const names = [...reachable()];
+  private choosePeers(max: number): readonly string[] {
+    const { random, reachablePeers } = this.options;
+    const names = [...reachablePeers()];
     const chosen: string[] = [];
-    while (chosen.length < most && names.length > 0) {
+    while (chosen.length < max && names.length > 0) {
       chosen.push(...names.splice(Math.floor(random() * names.length), 1));
     }
     return chosen;
   }
 
-  /** The peer's age is counted back from the moment of the question, since the answer was made after it. */
-  private async askPeer(name: string): Promise<Reading | undefined> {
-    const { bus, timers, settings, current } = this.options;
-    const mine = current()?.table;
-    const asked = readClocks(timers);
+  /**
+   * Reads the view of a peer. Its age is subtracted from the time of the request: the peer computed it later
+   * than that, so the view does not look more recent than it is.
+   */
+  private async readFromPeer(name: string): Promise<ListReading | undefined> {
+    const { bus, timers, settings, currentView } = this.options;
+    const own = currentView()?.table;
+    const before = readClocks(timers);
     try {
-      const question = { digest: mine?.digest ?? '' };
-      const answer = parseAnswer(
-        await bus.call(name, VIEW_PROCEDURE, question, { timeoutMs: settings.peerTimeoutMs }),
+      const request = { digest: own?.digest ?? '' };
+      const response = parseViewResponse(
+        await bus.call(name, VIEW_PROCEDURE, request, { timeoutMs: settings.peerTimeoutMs }),
       );
-      if (answer.ageMs === undefined) return undefined;
-      const hosts = answer.hosts ?? (answer.digest === mine?.digest ? mine?.hosts : undefined);
+      if (response.ageMs === undefined) return undefined;
+      const hosts = response.hosts ?? (response.digest === own?.digest ? own?.hosts : undefined);
       if (hosts === undefined) return undefined;
-      const age = answer.ageMs * (1 + 2 * settings.driftShare);
-      const begun = { now: asked.now - age, wall: asked.wall - age };
-      return { list: { hosts, version: answer.version, readAt: begun.now }, begun };
+      const age = response.ageMs * (1 + 2 * settings.driftShare);
+      const startedAt = { now: before.now - age, wall: before.wall - age };
+      return { list: { hosts, version: response.version, readAt: startedAt.now }, startedAt };
     } catch {
       return undefined;
     }
   }
 
-  private answer(digest: string) {
-    const { current, timers } = this.options;
-    const view = current();
+  private viewResponse(digest: string) {
+    const { currentView, timers } = this.options;
+    const view = currentView();
     if (view === undefined) return {};
     const { table } = view;
     const ageMs = view.ageMs(timers);
--- a/packages/fleet/src/core/membership/settings.ts
+++ b/packages/fleet/src/core/membership/settings.ts
@@ -1,7 +1,7 @@
-/** Defaults of membership. */
+/** Default settings of membership. */
 import type { MembershipSettings } from './types.js';
 
-/** Defaults; the daemon sets those that its settings name. */
+/** Defaults; the settings of the daemon override some of them. */
 export const DEFAULT_MEMBERSHIP_SETTINGS: MembershipSettings = {
   pollMs: 1_000,
   readTimeoutMs: 2_000,
--- a/packages/fleet/src/core/membership/types.ts
+++ b/packages/fleet/src/core/membership/types.ts
@@ -1,4 +1,4 @@
-/** Which hosts there are, as far as this daemon knows, and how fresh that knowledge is. */
+/** Types of membership: the hosts that this daemon knows, and how current its view of them is. */
 import type { AuditTrail, Log, TimerService } from '@celeryyoke/core';
 import type { HostEntry, HostListSource, HostRole } from '@celeryyoke/platform';
 
@@ -6,77 +6,90 @@
 
 /** The hosts as one daemon sees them. */
 export interface Membership {
-  /** Hosts of a role, leaving ones included. */
+  /** Returns the hosts of a role, including those that are leaving. */
   hosts(role: HostRole): readonly HostEntry[];
-  /** Finds a host. */
+  /** Returns the host of a name; undefined when it is not listed. */
   host(name: string): HostEntry | undefined;
   /** Whether the host is live: listed and not leaving. */
   isLive(name: string): boolean;
-  /** Whether a peer answers heartbeats; one to which no link is kept counts until a link to it fails. */
+  /**
+   * Whether a peer responds to heartbeats. A live peer without a permanent link counts as reachable until a
+   * connection to it fails.
+   */
   isReachable(peer: string): boolean;
-  /** Incarnation of a peer that was heard last; undefined when it was never heard. */
+  /** Last known incarnation of a peer; undefined when it was never connected. */
   incarnation(peer: string): number | undefined;
-  /** Age in milliseconds of the host list that this view rests on, at the time of the call. */
+  /** Current age in milliseconds of the host list in use; `Infinity` before the first one. */
   ageMs(): number;
-  /** Whether this process has just noticed that it was paused and must renew before it acts. */
+  /**
+   * Whether this process was paused and has not confirmed its view since; it must not act on the view until
+   * then.
+   */
   isDoubtful(): boolean;
-  /** Subscribes to changes: of the hosts, of a peer's incarnation, and each renewal of the view. */
+  /**
+   * Subscribes to changes of the hosts or of a peer's incarnation, and to each accepted read of the host
+   * list.
+   */
   subscribe(listener: () => void): () => void;
 }
 
-/** How much of the fleet holds the same view as this daemon. */
+/** How many daemons have the same view as this one. */
 export interface Reach {
-  /** Peers that answer heartbeats and list the same live entry hosts, and this daemon itself. */
+  /** Linked live peers that respond to heartbeats and list the same live entry hosts, plus this daemon. */
   readonly agreeing: number;
-  /** All that should: the live peers to which a link is kept, and this daemon. */
+  /** All live peers to which a link is kept, plus this daemon. */
   readonly known: number;
 }
 
-/** Membership as the process runs it. */
+/** Membership with its life cycle, for the process that runs it. */
 export interface ManagedMembership extends Membership {
-  /** Digest of the hosts of the view; equal for equal lists, on every daemon. */
+  /**
+   * Digest of the hosts in the view; equal on all daemons that have the same list. Empty before the first
+   * one.
+   */
   digest(): string;
-  /** Version of the list, if the platform gives one. */
+  /** Version of the list; undefined when the platform provides none. */
   version(): number | undefined;
-  /** Counts the peers that hold the same view now. */
+  /** Counts the daemons that have the same view now. */
   reach(): Reach;
   /**
-   * Keeps links to peers beyond those that membership chooses.
-   * @param purpose - Replaces what was asked for the same purpose before.
-   * @param peers - Names of peers.
+   * Keeps links to further peers, in addition to the chosen neighbours.
+   * @param purpose - Identifies the request; a later one of the same purpose replaces it.
    */
   pin(purpose: string, peers: readonly string[]): void;
-  /** Starts to read the host list. */
+  /** Starts to read the host list regularly. */
   start(): void;
-  /** Stops. */
+  /** Stops reading the list and detecting pauses. */
   stop(): Promise<void>;
 }
 
-/** Bounds and intervals of membership. */
+/** Limits and intervals of membership. */
 export interface MembershipSettings {
-  /** Interval between renewals of the view. */
+  /** Interval between reads of the host list. */
   readonly pollMs: number;
-  /** Time limit of one read of the host list. */
+  /** Timeout of one read of the host list. */
   readonly readTimeoutMs: number;
-  /** Time limit of one question to a peer. */
+  /** Timeout of one request to a peer. */
   readonly peerTimeoutMs: number;
-  /** Reads of the host list a second that all daemons together aim at; the others ask peers. */
+  /** Target of reads from the platform per second by all daemons together; the other reads ask peers. */
   readonly fleetReadsPerSecond: number;
-  /** A peer that was not heard for this time is suspected. */
+  /** A peer without a heartbeat for this time counts as unreachable. */
   readonly suspectMs: number;
-  /** Interval of the check for pauses. */
+  /** Interval of the ticks that detect pauses. */
   readonly tickMs: number;
-  /** A tick that is late by more than this, by either clock, is a pause. */
+  /** A tick that is late by more than this, by either clock, counts as a pause. */
   readonly pauseMs: number;
-  /** Bound on the drift between two monotonic clocks, as a share. */
+  /** Bound on the drift between two monotonic clocks, as a fraction. */
   readonly driftShare: number;
-  /** Most peers to which links are kept. */
+  /** Most neighbours to which links are kept; pinned peers come on top. */
   readonly maxPeers: number;
-  /** A list that loses more than this share of a role at once is held back. */
+  /** A list that lacks more than this share of the hosts of a role at once is held back. */
   readonly panicShare: number;
-  /** For how long such a list is held back while every read confirms it. */
+  /** Time for which such a list is held back while every read returns one. */
   readonly panicHoldMs: number;
-  /** For how long only older versions must be read until one is taken, as after a restore of the platform. */
+  /**
+   * Time in which only older versions must be read until one is accepted, as after a restore of the platform.
+   */
   readonly versionResetMs: number;
 }
 
@@ -88,6 +101,9 @@
   readonly log: Log;
   readonly audit: AuditTrail;
   readonly settings?: Partial<MembershipSettings>;
-  /** Chooses which peer is asked; a number from 0 to 1. */
+  /**
+   * Random numbers from 0 to 1 that choose between platform and peers, and which peers; `Math.random` by
+   * default.
+   */
   readonly random?: () => number;
 }
--- a/packages/fleet/src/core/membership/view.ts
+++ b/packages/fleet/src/core/membership/view.ts
@@ -1,4 +1,4 @@
-/** One accepted reading of the host list. */
+/** Host lists, indexed and with digests for comparison between daemons. */
 import type { TimerService } from '@celeryyoke/core';
 import { hashText } from '@celeryyoke/core';
 import type { HostEntry, HostListView } from '@celeryyoke/platform';
@@ -7,20 +7,19 @@
 import type { Moment } from './clocks.js';
 import { elapsedSince } from './clocks.js';
 
-function lineOf({ name, role, state, domain, address }: HostEntry): string {
+function canonicalLine({ name, role, state, domain, address }: HostEntry): string {
   return [name, role, state, domain, address].join('\t');
 }
 
 /**
- * Computes the digest of a list.
- * @param hosts - The hosts, in any order.
+ * Computes the digest of a list, independent of the order of its hosts.
  * @returns Sixteen hexadecimal digits.
  */
 export function digestOf(hosts: readonly HostEntry[]): string {
-  return hashText(hosts.map(lineOf).sort().join('\n'));
+  return hashText(hosts.map(canonicalLine).sort().join('\n'));
 }
 
-/** Digest of the names of the live entry hosts, on which owners depend. */
+/** Digest of the names of the live entry hosts, which determine the owners. */
 function entryDigestOf(hosts: readonly HostEntry[]): string {
   const live = hosts.filter(({ role, state }) => role === HostRole.Entry && state === HostState.Live);
   return hashText(
@@ -31,11 +30,11 @@
   );
 }
 
-/** The hosts of one list, found by name and role. */
+/** The hosts of one list, indexed by name and role. */
 export class HostTable {
   readonly digest: string;
 
-  /** Digest of the live entry hosts alone. */
+  /** Digest of the names of the live entry hosts alone. */
   readonly entryDigest: string;
 
   private readonly byName: ReadonlyMap<string, HostEntry>;
@@ -56,12 +55,10 @@
     this.byRole = byRole;
   }
 
-  /** Finds a host. */
   find(name: string): HostEntry | undefined {
     return this.byName.get(name);
   }
 
-  /** Hosts of a role. */
   ofRole(role: HostRole): readonly HostEntry[] {
     return this.byRole.get(role) ?? [];
   }
@@ -72,26 +69,21 @@
   }
 }
 
-/** A table and when its reading was begun. */
-export class AgedView {
+/** The list in use and when its read was started. */
+export class ListView {
   constructor(
     readonly table: HostTable,
-    readonly begun: Moment,
+    readonly startedAt: Moment,
   ) {}
 
-  /** Age at the time of the call. */
+  /** Current age in milliseconds. */
   ageMs(timers: TimerService): number {
-    return elapsedSince(this.begun, timers);
+    return elapsedSince(this.startedAt, timers);
   }
 }
 
-/**
- * Makes a table of a reading, or takes the one at hand again when nothing changed.
- * @param reading - The reading.
- * @param last - The table at hand.
- * @returns The table.
- */
-export function tableOf(reading: HostListView, last: HostTable | undefined): HostTable {
+/** Indexes a list that was read; returns the last table itself when nothing has changed. */
+export function toHostTable(reading: HostListView, last: HostTable | undefined): HostTable {
   const { hosts, version } = reading;
   const digest = last?.hosts === hosts ? last.digest : digestOf(hosts);
   if (last !== undefined && last.digest === digest && last.version === version) return last;
--- a/packages/fleet/src/core/membership/wire.ts
+++ b/packages/fleet/src/core/membership/wire.ts
@@ -1,4 +1,4 @@
-/** Questions between daemons about their views of the host list. */
+/** Messages with which daemons read each other's view of the host list. */
 import { HostRole, HostState } from '@celeryyoke/platform';
 import { z } from 'zod';
 
@@ -12,34 +12,30 @@
   address: z.string(),
 });
 
-const questionSchema = z.object({ digest: z.string() });
+const requestSchema = z.object({ digest: z.string() });
 
-const answerSchema = z.object({
-  /** Age of the view when the answer was made; none when there is no view. */
+const responseSchema = z.object({
+  /** Age of the view in milliseconds when the response was created; absent when there is no view. */
   ageMs: z.number().nonnegative().optional(),
   version: z.number().optional(),
   digest: z.string().optional(),
-  /** Left out when the digest is the one in the question. */
+  /** Absent when the digest equals that of the request. */
   hosts: z.array(hostSchema).optional(),
 });
 
-/** Asks for a peer's view, with the digest of one's own. */
-export type ViewQuestion = z.infer<typeof questionSchema>;
+/** Request for a peer's view, with the digest of the requester's own; empty when it has none. */
+export type ViewRequest = z.infer<typeof requestSchema>;
 
-/** A peer's view. */
-export type ViewAnswer = z.infer<typeof answerSchema>;
+/** Response with a peer's view. */
+export type ViewResponse = z.infer<typeof responseSchema>;
 
-/** Reads a peer's view. */
-export const VIEW_PROCEDURE: PeerProcedure<ViewQuestion, ViewAnswer> = {
+/** Returns the view of the called daemon. */
+export const VIEW_PROCEDURE: PeerProcedure<ViewRequest, ViewResponse> = {
   name: 'membership.view',
-  parse: (raw) => questionSchema.parse(raw),
+  parse: (raw) => requestSchema.parse(raw),
 };
 
-/**
- * Checks an answer.
- * @param raw - What came.
- * @returns The answer.
- */
-export function parseAnswer(raw: unknown): ViewAnswer {
-  return answerSchema.parse(raw);
+/** Validates a response; throws when it is malformed. */
+export function parseViewResponse(raw: unknown): ViewResponse {
+  return responseSchema.parse(raw);
 }
--- a/packages/fleet/test/membership.test.ts
+++ b/packages/fleet/test/membership.test.ts
@@ -8,23 +8,23 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
 
-function names({ membership }: TestDaemon): string {
+function entryNames({ membership }: TestDaemon): string {
   return membership
     .hosts(HostRole.Entry)
     .map(({ name }) => name)
     .join('');
 }
 
-function audited({ audit }: TestDaemon): readonly AuditKind[] {
+function auditKinds({ audit }: TestDaemon): readonly AuditKind[] {
   return audit.read().map(({ kind }) => kind);
 }
 
-test('the view follows the list, and its age counts from the read', async (t) => {
+test('the view follows the host list, and its age is counted from the read', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   t.is(a.membership.ageMs(), Infinity);
   await a.timers.advance(1);
-  t.is(names(a), 'ab');
+  t.is(entryNames(a), 'ab');
   t.is(a.membership.ageMs(), 1);
   a.list.hosts = [entry('a'), entry('b', HostState.Leaving)];
   await a.timers.advance(1_000);
@@ -32,10 +32,10 @@
   a.list.isDown = true;
   await a.timers.advance(4_000);
   t.true(a.membership.ageMs() >= 4_000);
-  t.is(names(a), 'ab');
+  t.is(entryNames(a), 'ab');
 });
 
-test('a list never goes back to an older version, but for a restored platform', async (t) => {
+test('an older version of the list is rejected, except after a restore of the platform', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'), { versionResetMs: 10_000 });
   await a.timers.advance(1);
@@ -44,51 +44,51 @@
   a.list.version = 6;
   a.list.hosts = entries('a');
   await a.timers.advance(5_000);
-  t.is(names(a), 'ab');
+  t.is(entryNames(a), 'ab');
   t.true(a.membership.ageMs() >= 4_000, 'an older list must not renew the view');
-  t.deepEqual(audited(a), [AuditKind.HostListHeld]);
+  t.deepEqual(auditKinds(a), [AuditKind.HostListHeld]);
   await a.timers.advance(10_000);
-  t.is(names(a), 'a');
-  t.deepEqual(audited(a), [AuditKind.HostListHeld, AuditKind.HostListTaken]);
+  t.is(entryNames(a), 'a');
+  t.deepEqual(auditKinds(a), [AuditKind.HostListHeld, AuditKind.HostListTaken]);
 });
 
-test('a list that loses most hosts at once is held back, one with announced leaving is not', async (t) => {
+test('a list without most of the hosts is held back, unless they were leaving before', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries(...NAMES), { panicHoldMs: 3_000 });
   await a.timers.advance(1);
   a.list.hosts = entries('a', 'b', 'c');
   await a.timers.advance(2_000);
-  t.is(names(a), 'abcdefg');
+  t.is(entryNames(a), 'abcdefg');
   a.list.hosts = entries(...NAMES);
   await a.timers.advance(1_000);
   a.list.hosts = entries('a', 'b', 'c');
   await a.timers.advance(3_000);
-  t.is(names(a), 'abcdefg', 'the time starts anew when the list was whole in between');
+  t.is(entryNames(a), 'abcdefg', 'the hold time restarts when a complete list was read in between');
   await a.timers.advance(1_100);
-  t.is(names(a), 'abc');
+  t.is(entryNames(a), 'abc');
   a.list.hosts = [entry('a'), entry('b', HostState.Leaving), entry('c', HostState.Leaving)];
   await a.timers.advance(1_000);
   a.list.hosts = entries('a');
   await a.timers.advance(1_000);
-  t.is(names(a), 'a');
+  t.is(entryNames(a), 'a');
   a.list.hosts = [];
   await a.timers.advance(60_000);
-  t.is(names(a), 'a', 'an empty list is never taken');
+  t.is(entryNames(a), 'a', 'an empty list is never accepted');
 });
 
-test('a pause is noticed by either clock, before the next timer fires', async (t) => {
+test('a pause is detected by either clock, before the next timer fires', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   await a.timers.advance(500);
   t.false(a.membership.isDoubtful());
   a.timers.pause(2_000);
   t.true(a.membership.isDoubtful());
-  t.deepEqual(audited(a), [AuditKind.PauseNoticed]);
+  t.deepEqual(auditKinds(a), [AuditKind.PauseNoticed]);
   await a.timers.advance(1_100);
-  t.false(a.membership.isDoubtful(), 'a read that was begun after the pause ends the doubt');
+  t.false(a.membership.isDoubtful(), 'a read started after the pause confirms the view');
 });
 
-test('a suspended machine may stop the monotonic clock; the wall clock tells', async (t) => {
+test('a suspension that stops the monotonic clock is detected by the wall clock', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   await a.timers.advance(500);
@@ -98,7 +98,7 @@
   t.true(a.membership.isDoubtful());
 });
 
-test('a daemon that can not read the list gets it, with its true age, through its peers', async (t) => {
+test('a daemon that can not read the host list gets it with its true age from its peers', async (t) => {
   const net = createMemoryPeerNet();
   const daemons = ['a', 'b', 'c'].map((name) => createTestDaemon(net, name, entries('a', 'b', 'c')));
   const [a, b] = daemons as [TestDaemon, TestDaemon];
@@ -106,15 +106,15 @@
   a.list.isDown = true;
   for (const { list } of daemons) list.hosts = entries('a', 'b', 'c', 'd');
   await advanceAll(net, daemons, 5_000);
-  t.is(names(a), 'abcd');
+  t.is(entryNames(a), 'abcd');
   t.true(a.membership.ageMs() <= 3_000);
   t.true(a.membership.ageMs() >= b.membership.ageMs());
   for (const { list } of daemons) list.isDown = true;
   await advanceAll(net, daemons, 20_000);
-  t.true(a.membership.ageMs() >= 19_000, 'views that are passed round must not look young');
+  t.true(a.membership.ageMs() >= 19_000, 'a view that is passed between peers must not look more recent');
 });
 
-test('after a pause without the platform most peers must confirm the view', async (t) => {
+test('after a pause while the platform is down, most peers must confirm the view', async (t) => {
   const net = createMemoryPeerNet();
   const daemons = ['a', 'b', 'c', 'd'].map((name) =>
     createTestDaemon(net, name, entries('a', 'b', 'c', 'd')),
@@ -132,7 +132,7 @@
   t.false(a.membership.isDoubtful());
 });
 
-test('a host that comes back under its address with a new incarnation is told from the old one', async (t) => {
+test('a host that returns at its address with a new incarnation is a new process start', async (t) => {
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   let b = createTestDaemon(net, 'b', entries('a', 'b'));
@@ -158,7 +158,7 @@
   t.true(changes > 0);
 });
 
-test('links are all of a small fleet and few of a large one, and any two daemons are few links apart', (t) => {
+test('links go to all peers of a small fleet and to few of a large one, few hops apart', (t) => {
   t.deepEqual(chooseNeighbours('a', NAMES, 16), new Set('bcdefg'));
   t.is(
     chooseNeighbours(
@@ -168,19 +168,19 @@
     ).size,
     16,
   );
-  const large = Array.from({ length: 400 }, (_, index) => `host-${index}`);
-  const links = new Map(large.map((name) => [name, chooseNeighbours(name, large, 16)]));
+  const largeFleet = Array.from({ length: 400 }, (_, index) => `host-${index}`);
+  const links = new Map(largeFleet.map((name) => [name, chooseNeighbours(name, largeFleet, 16)]));
   for (const chosen of links.values()) t.is(chosen.size, 16);
-  const seen = new Set(['host-0']);
+  const reached = new Set(['host-0']);
   let hops = 0;
-  for (; seen.size < large.length && hops < 20; hops += 1) {
-    for (const name of [...seen]) for (const next of links.get(name)!) seen.add(next);
+  for (; reached.size < largeFleet.length && hops < 20; hops += 1) {
+    for (const name of [...reached]) for (const next of links.get(name)!) reached.add(next);
   }
-  t.is(seen.size, large.length);
+  t.is(reached.size, largeFleet.length);
   t.true(hops <= 9, `${hops} hops`);
-  const moved = large.filter((name) => {
-    const after = chooseNeighbours(name, large.slice(1), 16);
+  const affected = largeFleet.filter((name) => {
+    const after = chooseNeighbours(name, largeFleet.slice(1), 16);
     return name !== 'host-0' && [...after].some((peer) => !links.get(name)!.has(peer));
   });
-  t.true(moved.length < 60, `${moved.length} daemons moved a link when one host left`);
+  t.true(affected.length < 60, `${affected.length} daemons changed a link when one host left`);
 });
--- a/packages/fleet/test/support/fleet.ts
+++ b/packages/fleet/test/support/fleet.ts
@@ -1,24 +1,27 @@
-/** Small stand-ins for the tests of this package: a membership that a test sets by hand. */
+/** A fake membership for unit tests. */
 import type { HostEntry } from '@celeryyoke/platform';
 import { HostRole, HostState } from '@celeryyoke/platform';
 
 import type { Membership } from '../../src/index.js';
 
-/** A membership that a test sets by hand. */
+/** A membership whose hosts, incarnations and age are set by the test. */
 export interface ManualMembership extends Membership {
+  /** Replaces the hosts and notifies the subscribers. */
   list(names: readonly string[]): void;
+  /** Records an incarnation of a peer, as after a heartbeat; an older one is ignored. */
   heard(peer: string, incarnation: number): void;
+  /** Sets the age of the view in milliseconds. */
   setAge(ms: number): void;
 }
 
-const DOMAINS = 3;
+const DOMAIN_COUNT = 3;
 
-/** Domain of a test host: the last digit of its name, in turn. */
+/** Failure domain of a test host, by the last digit of its name. */
 export function domainOf(name: string): string {
-  return `domain-${Number(name.at(-1)) % DOMAINS}`;
+  return `domain-${Number(name.at(-1)) % DOMAIN_COUNT}`;
 }
 
-function entryOf(name: string): HostEntry {
+function createEntry(name: string): HostEntry {
   return {
     name,
     role: HostRole.Entry,
@@ -28,21 +31,24 @@
   };
 }
 
-/** Makes a membership with hosts of which each has been heard with incarnation 1. */
+/**
+ * Creates a membership of live entry hosts. Without `isReachable`, each is reachable with incarnation 1;
+ * otherwise the incarnations are unknown at first.
+ */
 export function createManualMembership(
   names: readonly string[],
   isReachable?: (peer: string) => boolean,
 ): ManualMembership {
   const listeners = new Set<() => void>();
-  const heard = new Map(isReachable === undefined ? names.map((name) => [name, 1]) : []);
-  let hosts = names.map(entryOf);
+  const incarnations = new Map(isReachable === undefined ? names.map((name) => [name, 1]) : []);
+  let hosts = names.map(createEntry);
   let age = 0;
   return {
     hosts: (role) => (role === HostRole.Entry ? hosts : []),
     host: (name) => hosts.find((host) => host.name === name),
     isLive: (name) => hosts.some((host) => host.name === name),
-    isReachable: isReachable ?? ((peer) => heard.has(peer)),
-    incarnation: (peer) => heard.get(peer),
+    isReachable: isReachable ?? ((peer) => incarnations.has(peer)),
+    incarnation: (peer) => incarnations.get(peer),
     ageMs: () => age,
     isDoubtful: () => false,
     subscribe(listener) {
@@ -50,11 +56,11 @@
       return () => listeners.delete(listener);
     },
     list(next) {
-      hosts = next.map(entryOf);
+      hosts = next.map(createEntry);
       for (const listener of listeners) listener();
     },
     heard(peer, incarnation) {
-      heard.set(peer, Math.max(incarnation, heard.get(peer) ?? 0));
+      incarnations.set(peer, Math.max(incarnation, incarnations.get(peer) ?? 0));
     },
     setAge(ms) {
       age = ms;
--- a/packages/fleet/test/support/lists.ts
+++ b/packages/fleet/test/support/lists.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for the tests of membership and ownership: a host list and daemons in one process. */
+/** A fake host list and in-process daemons for the tests of membership and ownership. */
 import type { AuditTrail, ManualTimerService } from '@celeryyoke/core';
 import { createAuditTrail, createManualTimers, createSilentLog } from '@celeryyoke/core';
 import type { HostEntry, HostListSource, HostListView } from '@celeryyoke/platform';
@@ -12,17 +12,17 @@
 } from '../../src/index.js';
 import { createMembership } from '../../src/index.js';
 
-/** Makes an entry host. */
+/** Creates an entry host in a failure domain of its own. */
 export function entry(name: string, state = HostState.Live): HostEntry {
   return { name, role: HostRole.Entry, state, domain: `domain-${name}`, address: `${name}:1` };
 }
 
-/** Makes entry hosts. */
+/** Creates live entry hosts. */
 export function entries(...names: readonly string[]): readonly HostEntry[] {
   return names.map((name) => entry(name));
 }
 
-/** A host list that a test sets by hand, for one reader. */
+/** A host list for one reader, whose content and availability are set by the test. */
 export interface FakeList extends HostListSource {
   hosts: readonly HostEntry[];
   version: number | undefined;
@@ -30,7 +30,7 @@
   reads: number;
 }
 
-/** Makes a list. */
+/** Creates a host list without a version. */
 export function createFakeList(timers: ManualTimerService, hosts: readonly HostEntry[]): FakeList {
   return {
     hosts,
@@ -46,8 +46,8 @@
   };
 }
 
-/** Numbers from 0 to 1 that are spread evenly, the same on every run. */
-function createSpread(): () => number {
+/** Creates a deterministic generator of evenly spread numbers from 0 to 1. */
+function createEvenlySpread(): () => number {
   let count = 0;
   return () => {
     count += 1;
@@ -65,7 +65,7 @@
   readonly membership: ManagedMembership;
 }
 
-/** Makes a daemon with its own clocks. */
+/** Creates a daemon with its own clocks and starts its membership. */
 export function createTestDaemon(
   net: MemoryPeerNet,
   name: string,
@@ -78,13 +78,13 @@
   const list = createFakeList(timers, hosts);
   const bus = net.join({ name, incarnation });
   const log = createSilentLog();
-  const random = createSpread();
+  const random = createEvenlySpread();
   const membership = createMembership({ source: list, bus, timers, log, audit, settings, random });
   membership.start();
   return { name, timers, audit, list, bus, membership };
 }
 
-/** Moves several daemons on together, with a heartbeat in each step. */
+/** Advances the clocks of several daemons together, with a round of heartbeats before each step. */
 export async function advanceAll(
   net: MemoryPeerNet,
   daemons: readonly TestDaemon[],
