--- a/packages/bench/src/core/configuration/fleet.ts
+++ b/packages/bench/src/core/configuration/fleet.ts
@@ -33,12 +33,12 @@
   const hosts = names.map(entryOf);
   return {
     hosts: (role) => (role === HostRole.Entry ? hosts : []),
-    host: (name) => hosts.find((host) => host.name === name),
+    findHost: (name) => hosts.find((host) => host.name === name),
     isLive: (name) => names.includes(name),
     isReachable: () => true,
-    incarnation: () => 1,
+    incarnationOf: () => 1,
     ageMs: () => 0,
-    isDoubtful: () => false,
+    needsConfirmation: () => false,
     subscribe: () => () => undefined,
   };
 }
--- a/packages/bench/src/core/control/daemon-thread.ts
+++ b/packages/bench/src/core/control/daemon-thread.ts
@@ -93,7 +93,7 @@
 function describe(): DaemonDescription {
   return {
     owners: owners(),
-    linksOut: daemon.part<ManagedMembership>(Part.Membership).reach().known - 1,
+    linksOut: daemon.part<ManagedMembership>(Part.Membership).viewAgreement().known - 1,
     complaints: complaints.splice(0),
     workDone: work?.done ?? 0,
     workFailed: work?.failed ?? 0,
--- a/packages/bench/src/core/control/played-peers.ts
+++ b/packages/bench/src/core/control/played-peers.ts
@@ -122,7 +122,7 @@
     });
     serve(bus, options, calls);
     const own = { name, config: options.config, homes: homes.get(name)!, owners: options.owners };
-    for (const section of playedSections(own)) bus.contribute(section);
+    for (const section of playedSections(own)) bus.addHeartbeatSection(section);
     return bus;
   });
   const hosts: PlayedHost[] = [];
--- a/packages/bench/src/core/control/played-sections.ts
+++ b/packages/bench/src/core/control/played-sections.ts
@@ -17,7 +17,7 @@
 export type Owners = ReadonlyMap<string, readonly string[]>;
 
 function section(name: string, collect: () => unknown): HeartbeatSection {
-  return { name, collect, absorb: () => undefined };
+  return { name, collect, merge: () => undefined };
 }
 
 /** Tells which played daemon is the home of each bucket of keys, by the rank that real daemons use. */
--- a/packages/daemon/src/core/daemon/services/promises.ts
+++ b/packages/daemon/src/core/daemon/services/promises.ts
@@ -15,7 +15,7 @@
       membership,
       timers,
       log: log.part('custody'),
-      pin: (peers) => membership.pin(Part.Custody, peers),
+      pin: (peers) => membership.pinLinks(Part.Custody, peers),
     });
   });
 }
--- a/packages/daemon/src/core/daemon/services/readiness.ts
+++ b/packages/daemon/src/core/daemon/services/readiness.ts
@@ -25,7 +25,7 @@
     const config = holder.current()?.config;
     if (config === undefined) return 'no configuration yet';
     if (membership.hosts(HostRole.Entry).length === 0) return 'no host list yet';
-    wasListed ||= membership.host(self) !== undefined;
+    wasListed ||= membership.findHost(self) !== undefined;
     // Before the list names it, peers divide no limits and no keys to this daemon.
     if (!wasListed) return 'this host is not on the host list yet';
     if (config.engines.length > 0 && !site.hasSeenGrantingOwner())
--- a/packages/daemon/src/core/status/fleet.ts
+++ b/packages/daemon/src/core/status/fleet.ts
@@ -62,7 +62,7 @@
     try {
       return await bus.call(host, STATUS_READ, {}, CALL_OPTIONS);
     } catch {
-      return { host, incarnation: membership.incarnation(host) ?? 0, reached: false, sections: {} };
+      return { host, incarnation: membership.incarnationOf(host) ?? 0, reached: false, sections: {} };
     }
   };
 
--- a/packages/fleet/src/core/custody/agreed.ts
+++ b/packages/fleet/src/core/custody/agreed.ts
@@ -63,10 +63,10 @@
       this.keepers.heardRetired(from.name, generation);
       return true;
     });
-    bus.contribute({
+    bus.addHeartbeatSection({
       name: 'custody',
       collect: (peer) => this.collect(peer),
-      absorb: (from, data) => this.absorb(from.name, sectionSchema.parse(data)),
+      merge: (from, data) => this.absorb(from.name, sectionSchema.parse(data)),
     });
     this.task = this.runRounds();
   }
--- a/packages/fleet/src/core/custody/computed.ts
+++ b/packages/fleet/src/core/custody/computed.ts
@@ -43,7 +43,7 @@
     hint: () => undefined,
     carry: () => undefined,
     possible: () => new Set(membership.hosts(HostRole.Entry).map((host) => host.name)),
-    isStopped: (name, incarnation) => (membership.incarnation(name) ?? -Infinity) > incarnation,
+    isStopped: (name, incarnation) => (membership.incarnationOf(name) ?? -Infinity) > incarnation,
     isFormed: () => true,
     status: () => ({ home: 0, backup: 0, handovers: 0, mayAct: true }),
     isSettled: () => true,
--- a/packages/fleet/src/core/custody/keepers.ts
+++ b/packages/fleet/src/core/custody/keepers.ts
@@ -116,7 +116,7 @@
   isStopped(name: string, incarnation: number): boolean {
     if (this.absent.has(name)) return true;
     if ((this.retired.get(name) ?? -Infinity) >= incarnation) return true;
-    const known = name === this.self.name ? this.generation : this.options.membership.incarnation(name);
+    const known = name === this.self.name ? this.generation : this.options.membership.incarnationOf(name);
     return known !== undefined && Math.floor(known) > incarnation;
   }
 
@@ -128,7 +128,7 @@
   /** Takes in a generation that a peer told of itself. */
   heard(peer: string, generation: number): void {
     if (generation > (this.generations.get(peer) ?? -Infinity)) this.generations.set(peer, generation);
-    if (!this.absent.has(peer) || this.options.membership.host(peer) === undefined) return;
+    if (!this.absent.has(peer) || this.options.membership.findHost(peer) === undefined) return;
     this.absent.delete(peer);
     this.buried.set(peer, Math.max(generation, this.knownGeneration(peer) ?? generation));
   }
@@ -192,7 +192,7 @@
       this.absentSince.clear();
       return;
     }
-    const isListed = membership.host(this.self.name) !== undefined;
+    const isListed = membership.findHost(this.self.name) !== undefined;
     if (this.isListed && !isListed) this.fence('the host list no longer names this daemon');
     this.isListed = isListed;
     this.isFirstLook = false;
@@ -203,7 +203,7 @@
     const { membership } = this.options;
     for (const { name } of membership.hosts(HostRole.Entry)) this.learn(name);
     for (const name of this.generations.keys()) {
-      if (membership.host(name) !== undefined) {
+      if (membership.findHost(name) !== undefined) {
         this.absentSince.delete(name);
         continue;
       }
@@ -224,7 +224,7 @@
    */
   private isSighted(): boolean {
     const { membership } = this.options;
-    if (membership.isDoubtful()) return false;
+    if (membership.needsConfirmation()) return false;
     if (this.isViewFresh()) return true;
     const peers = membership.hosts(HostRole.Entry).filter(({ name }) => name !== this.self.name);
     return peers.every(({ name }) => !membership.isLive(name) || membership.isReachable(name));
@@ -232,11 +232,11 @@
 
   private isViewFresh(): boolean {
     const { membership } = this.options;
-    return !membership.isDoubtful() && membership.ageMs() <= this.maxViewAgeMs;
+    return !membership.needsConfirmation() && membership.ageMs() <= this.maxViewAgeMs;
   }
 
   private knownGeneration(peer: string): number | undefined {
-    const incarnation = this.options.membership.incarnation(peer) ?? -Infinity;
+    const incarnation = this.options.membership.incarnationOf(peer) ?? -Infinity;
     const known = Math.max(incarnation, this.generations.get(peer) ?? -Infinity);
     return known === -Infinity ? undefined : known;
   }
--- a/packages/fleet/src/core/distribution/distribution.ts
+++ b/packages/fleet/src/core/distribution/distribution.ts
@@ -82,10 +82,10 @@
       'Bytes of the compressed parts that are kept.',
     );
     bus.handle(ROOT_PROCEDURE, async () => ({ bytes: this.inForce?.bytes }));
-    bus.contribute({
+    bus.addHeartbeatSection({
       name: ANNOUNCEMENT_SECTION,
       collect: () => this.announce(),
-      absorb: (from, data) => this.absorb(from.name, data),
+      merge: (from, data) => this.absorb(from.name, data),
     });
   }
 
--- a/packages/fleet/src/core/leases/dispatcher.ts
+++ b/packages/fleet/src/core/leases/dispatcher.ts
@@ -221,7 +221,7 @@
   private isUsable(lease: LocalLease): boolean {
     const { timers, membership } = this.options;
     if (lease.isDraining || lease.validUntil <= timers.now()) return false;
-    return !membership.isDoubtful() && membership.isLive(lease.engine);
+    return !membership.needsConfirmation() && membership.isLive(lease.engine);
   }
 
   private startRequest(search: EngineSearch, lease: LocalLease): DispatchGrant | undefined {
--- a/packages/fleet/src/core/leases/popularity.ts
+++ b/packages/fleet/src/core/leases/popularity.ts
@@ -41,10 +41,10 @@
   private readonly nextNumberFor = new Map<string, number>();
 
   constructor(private readonly options: PopularityExchangeOptions) {
-    options.bus.contribute({
+    options.bus.addHeartbeatSection({
       name: 'popularity',
       collect: (peer) => this.collect(peer),
-      absorb: (_from, data) => this.absorb(data),
+      merge: (_from, data) => this.absorb(data),
     });
   }
 
--- a/packages/fleet/src/core/leases/site.ts
+++ b/packages/fleet/src/core/leases/site.ts
@@ -237,6 +237,6 @@
 /** Creates the site state and adds its section to the heartbeat. */
 export function createSiteState(options: SiteStateOptions): SiteState {
   const site = new SiteIndex(options);
-  options.bus.contribute(createSiteSection(site.ownStates, (state) => site.merge(state)));
+  options.bus.addHeartbeatSection(createSiteSection(site.ownStates, (state) => site.merge(state)));
   return site;
 }
--- a/packages/fleet/src/core/leases/siteSection.ts
+++ b/packages/fleet/src/core/leases/siteSection.ts
@@ -69,7 +69,7 @@
       sentTo.set(peer, current);
       return states;
     },
-    absorb(_from, data) {
+    merge(_from, data) {
       for (const { keys, ...counters } of siteSection.parse(data)) {
         if (keys !== undefined)
           lastKeys.set(counters.engine, new Map(keys.map((slot) => [slot.key, slot.state])));
--- a/packages/fleet/src/core/limits/limits.ts
+++ b/packages/fleet/src/core/limits/limits.ts
@@ -170,7 +170,7 @@
   /** Whether the host list names others but not this daemon, whose shares then count as lost. */
   private isUnlisted(): boolean {
     const { bus, membership } = this.options;
-    return membership.hosts(HostRole.Entry).length > 0 && membership.host(bus.self.name) === undefined;
+    return membership.hosts(HostRole.Entry).length > 0 && membership.findHost(bus.self.name) === undefined;
   }
 }
 
--- a/packages/fleet/src/core/membership/index.ts
+++ b/packages/fleet/src/core/membership/index.ts
@@ -2,4 +2,10 @@
 export { CONFIRMING_SHARE, createMembership } from './membership.js';
 export { chooseNeighbours } from './neighbours.js';
 export { DEFAULT_MEMBERSHIP_SETTINGS } from './settings.js';
-export type { ManagedMembership, Membership, MembershipOptions, MembershipSettings, Reach } from './types.js';
+export type {
+  ManagedMembership,
+  Membership,
+  MembershipOptions,
+  MembershipSettings,
+  ViewAgreement,
+} from './types.js';
--- a/packages/fleet/src/core/membership/membership.ts
+++ b/packages/fleet/src/core/membership/membership.ts
@@ -14,7 +14,7 @@
 import type { ListReading, ReadOutcome } from './reader.js';
 import { ListReader } from './reader.js';
 import { DEFAULT_MEMBERSHIP_SETTINGS } from './settings.js';
-import type { ManagedMembership, MembershipOptions, MembershipSettings, Reach } from './types.js';
+import type { ManagedMembership, MembershipOptions, MembershipSettings, ViewAgreement } from './types.js';
 import type { HostTable } from './view.js';
 import { ListView, toHostTable } from './view.js';
 
@@ -74,10 +74,10 @@
       reachablePeers: () => [...this.linked].filter((name) => this.peerStatus.isResponsive(name)),
       daemonCount: () => this.hosts(HostRole.Entry).length,
     });
-    bus.contribute({
+    bus.addHeartbeatSection({
       name: 'membership',
       collect: () => this.view?.table.entryDigest,
-      absorb: (from, data) => this.peerStatus.setDigest(from.name, String(data)),
+      merge: (from, data) => this.peerStatus.setDigest(from.name, String(data)),
     });
     this.unsubscribe = bus.subscribe((event) => {
       if (this.peerStatus.recordEvent(event)) this.notifyListeners();
@@ -98,7 +98,7 @@
     return this.view?.table.ofRole(role) ?? [];
   }
 
-  host(name: string): HostEntry | undefined {
+  findHost(name: string): HostEntry | undefined {
     return this.view?.table.find(name);
   }
 
@@ -112,7 +112,7 @@
     return this.isLive(peer) && !this.peerStatus.isLinkLost(peer);
   }
 
-  incarnation(peer: string): number | undefined {
+  incarnationOf(peer: string): number | undefined {
     const { self } = this.options.bus;
     return peer === self.name ? self.incarnation : this.peerStatus.incarnationOf(peer);
   }
@@ -121,7 +121,7 @@
     return this.view?.ageMs(this.options.timers) ?? Infinity;
   }
 
-  isDoubtful(): boolean {
+  needsConfirmation(): boolean {
     return this.pauses.needsConfirmation();
   }
 
@@ -133,14 +133,14 @@
     return this.view?.table.version;
   }
 
-  reach(): Reach {
+  viewAgreement(): ViewAgreement {
     const linkedLive = [...this.linked].filter((name) => this.isLive(name));
     const digest = this.view?.table.entryDigest ?? '';
     const agreeing = linkedLive.filter((name) => this.peerStatus.hasSameEntries(name, digest));
     return { agreeing: agreeing.length + 1, known: linkedLive.length + 1 };
   }
 
-  pin(purpose: string, peers: readonly string[]): void {
+  pinLinks(purpose: string, peers: readonly string[]): void {
     this.pinnedPeers.set(purpose, peers);
     this.updateLinks();
   }
@@ -181,7 +181,8 @@
    * the pause, they know no newer list than this daemon, so nothing can have been decided without it.
    */
   private confirmWithPeers({ startedAt, responses }: ReadOutcome): void {
-    if (responses + 1 >= CONFIRMING_SHARE * this.reach().known) this.pauses.recordConfirmation(startedAt);
+    if (responses + 1 >= CONFIRMING_SHARE * this.viewAgreement().known)
+      this.pauses.recordConfirmation(startedAt);
   }
 
   private updateLinks(): void {
--- a/packages/fleet/src/core/membership/types.ts
+++ b/packages/fleet/src/core/membership/types.ts
@@ -9,7 +9,7 @@
   /** Returns the hosts of a role, including those that are leaving. */
   hosts(role: HostRole): readonly HostEntry[];
   /** Returns the host of a name; undefined when it is not listed. */
-  host(name: string): HostEntry | undefined;
+  findHost(name: string): HostEntry | undefined;
   /** Whether the host is live: listed and not leaving. */
   isLive(name: string): boolean;
   /**
@@ -18,14 +18,14 @@
    */
   isReachable(peer: string): boolean;
   /** Last known incarnation of a peer; undefined when it was never connected. */
-  incarnation(peer: string): number | undefined;
+  incarnationOf(peer: string): number | undefined;
   /** Current age in milliseconds of the host list in use; `Infinity` before the first one. */
   ageMs(): number;
   /**
    * Whether this process was paused and has not confirmed its view since; it must not act on the view until
    * then.
    */
-  isDoubtful(): boolean;
+  needsConfirmation(): boolean;
   /**
    * Subscribes to changes of the hosts or of a peer's incarnation, and to each accepted read of the host
    * list.
@@ -34,7 +34,7 @@
 }
 
 /** How many daemons have the same view as this one. */
-export interface Reach {
+export interface ViewAgreement {
   /** Linked live peers that respond to heartbeats and list the same live entry hosts, plus this daemon. */
   readonly agreeing: number;
   /** All live peers to which a link is kept, plus this daemon. */
@@ -51,12 +51,12 @@
   /** Version of the list; undefined when the platform provides none. */
   version(): number | undefined;
   /** Counts the daemons that have the same view now. */
-  reach(): Reach;
+  viewAgreement(): ViewAgreement;
   /**
    * Keeps links to further peers, in addition to the chosen neighbours.
    * @param purpose - Identifies the request; a later one of the same purpose replaces it.
    */
-  pin(purpose: string, peers: readonly string[]): void;
+  pinLinks(purpose: string, peers: readonly string[]): void;
   /** Starts to read the host list regularly. */
   start(): void;
   /** Stops reading the list and detecting pauses. */
--- a/packages/fleet/src/core/ownership/departures.ts
+++ b/packages/fleet/src/core/ownership/departures.ts
@@ -32,14 +32,14 @@
    * @param asked - When it was asked.
    */
   confirm(name: string, asked: Moment): void {
-    this.departures.set(name, { incarnation: this.membership.incarnation(name), confirmedFrom: asked });
+    this.departures.set(name, { incarnation: this.membership.incarnationOf(name), confirmedFrom: asked });
   }
 
   /** Whether a daemon's departure counts at this moment. */
   has(name: string): boolean {
     const departure = this.departures.get(name);
     if (departure === undefined) return false;
-    const isSameStart = this.membership.incarnation(name) === departure.incarnation;
+    const isSameStart = this.membership.incarnationOf(name) === departure.incarnation;
     return isSameStart && elapsedSince(departure.confirmedFrom, this.timers) < authoritySpanMs(this.times);
   }
 
--- a/packages/fleet/src/core/ownership/lease.ts
+++ b/packages/fleet/src/core/ownership/lease.ts
@@ -38,13 +38,13 @@
 
   /** Whether the view is fresh at this moment. */
   isFresh(): boolean {
-    return this.membership.ageMs() <= this.times.leaseMs && !this.membership.isDoubtful();
+    return this.membership.ageMs() <= this.times.leaseMs && !this.membership.needsConfirmation();
   }
 
   /** Whether the view is stale, but most of the fleet has no newer one and had none since it became stale. */
   isConfirmedStale(): boolean {
     const { membership, lapse, timers, times } = this;
-    if (membership.isDoubtful() || membership.ageMs() <= times.leaseMs) return false;
+    if (membership.needsConfirmation() || membership.ageMs() <= times.leaseMs) return false;
     const isShort = lapse === undefined || elapsedSince(lapse.since, timers) <= times.staleLimitMs;
     return isShort && lapse?.isConfirmed !== false && this.isConfirmedNow();
   }
@@ -87,12 +87,12 @@
   }
 
   private isConfirmedNow(): boolean {
-    const { agreeing, known } = this.membership.reach();
+    const { agreeing, known } = this.membership.viewAgreement();
     return agreeing >= CONFIRMING_SHARE * known;
   }
 
   private countMajority(): void {
-    const { agreeing, known } = this.membership.reach();
+    const { agreeing, known } = this.membership.viewAgreement();
     if (agreeing <= known / 2) this.majoritySince = undefined;
     else this.majoritySince ??= readClocks(this.timers);
   }
--- a/packages/fleet/src/core/ownership/ownership.ts
+++ b/packages/fleet/src/core/ownership/ownership.ts
@@ -149,7 +149,7 @@
   /** The tenure under which this daemon may act, if what it rests on still holds at this moment. */
   private actingTenure(resource: string): Tenure | undefined {
     const { membership } = this.options;
-    if (this.retiredAt !== undefined || (this.context.checksLeases && membership.isDoubtful()))
+    if (this.retiredAt !== undefined || (this.context.checksLeases && membership.needsConfirmation()))
       return undefined;
     // A departure lapses with time alone, without any event.
     if (this.departures.names().join() !== this.departed) this.review();
@@ -253,7 +253,7 @@
       for (const peer of tenure.predecessors) wanted.set(peer, [...(wanted.get(peer) ?? []), name]);
     }
     for (const [peer, resources] of wanted) {
-      if (this.options.membership.host(peer) !== undefined) void this.asker.ask(peer, resources);
+      if (this.options.membership.findHost(peer) !== undefined) void this.asker.ask(peer, resources);
     }
   }
 
--- a/packages/fleet/src/core/ownership/types.ts
+++ b/packages/fleet/src/core/ownership/types.ts
@@ -1,7 +1,7 @@
 /** Who owns a resource: computed from the host list, held only as long as the list is fresh. */
 import type { AuditTrail, Log, TimerService } from '@celeryyoke/core';
 
-import type { Membership, Reach } from '../membership/index.js';
+import type { Membership, ViewAgreement } from '../membership/index.js';
 import type { PeerBus } from '../peers/index.js';
 
 /** What this daemon may do about a resource. */
@@ -88,7 +88,7 @@
 /** What ownership needs of membership. */
 export interface OwnershipMembership extends Membership {
   /** Counts the peers that hold the same view now. */
-  reach(): Reach;
+  viewAgreement(): ViewAgreement;
 }
 
 /** Options of ownership. */
--- a/packages/fleet/src/core/peers/bus.ts
+++ b/packages/fleet/src/core/peers/bus.ts
@@ -149,7 +149,7 @@
     this.procedures.add(procedure, handler);
   }
 
-  contribute(section: HeartbeatSection): void {
+  addHeartbeatSection(section: HeartbeatSection): void {
     this.sections.add(section);
   }
 
--- a/packages/fleet/src/core/peers/memory.ts
+++ b/packages/fleet/src/core/peers/memory.ts
@@ -27,19 +27,19 @@
    * @param from - The sending daemon.
    * @param to - The receiving daemon.
    */
-  cut(from: string, to: string): void;
+  blockDirection(from: string, to: string): void;
   /**
    * Unblocks one direction, or all of them when no names are given.
    * @param from - The sending daemon.
    * @param to - The receiving daemon.
    */
-  mend(from?: string, to?: string): void;
+  unblockDirection(from?: string, to?: string): void;
   /**
    * Sends one heartbeat from every daemon to every other daemon that it can reach.
    * @param passes - Whether this heartbeat passes in a direction; all pass by default. Simulates paused
    * processes.
    */
-  beat(passes?: (from: string, to: string) => boolean): void;
+  exchangeHeartbeats(passes?: (from: string, to: string) => boolean): void;
 }
 
 function copy(value: unknown): unknown {
@@ -74,7 +74,7 @@
     this.handlers.set(procedure.name, (raw, from) => handler(procedure.parse(raw), from));
   }
 
-  contribute(section: HeartbeatSection): void {
+  addHeartbeatSection(section: HeartbeatSection): void {
     this.sections.set(section.name, section);
   }
 
@@ -137,7 +137,7 @@
   private sendSections(peer: MemoryBus): void {
     for (const section of this.sections.values()) {
       const data = section.collect(peer.self.name);
-      if (data !== undefined) peer.sections.get(section.name)?.absorb(this.self, copy(data));
+      if (data !== undefined) peer.sections.get(section.name)?.merge(this.self, copy(data));
     }
   }
 }
@@ -158,11 +158,11 @@
     this.buses.delete(name);
   }
 
-  cut(from: string, to: string): void {
+  blockDirection(from: string, to: string): void {
     this.blockedDirections.add(`${from}>${to}`);
   }
 
-  mend(from?: string, to?: string): void {
+  unblockDirection(from?: string, to?: string): void {
     if (from === undefined) this.blockedDirections.clear();
     else this.blockedDirections.delete(`${from}>${to}`);
   }
@@ -171,7 +171,7 @@
     return this.blockedDirections.has(`${from}>${to}`) ? undefined : this.buses.get(to);
   }
 
-  beat(passes: (from: string, to: string) => boolean = () => true): void {
+  exchangeHeartbeats(passes: (from: string, to: string) => boolean = () => true): void {
     for (const bus of this.buses.values()) {
       for (const name of this.buses.keys()) {
         const peer = this.reachableBus(bus.self.name, name);
--- a/packages/fleet/src/core/peers/sections.ts
+++ b/packages/fleet/src/core/peers/sections.ts
@@ -62,7 +62,7 @@
 
   private mergeSection(section: HeartbeatSection, from: PeerIdentity, data: Uint8Array): void {
     try {
-      section.absorb(from, decode(data));
+      section.merge(from, decode(data));
     } catch (err) {
       this.log.error(`Section "${section.name}" from ${from.name} could not be merged: ${String(err)}.`);
     }
--- a/packages/fleet/src/core/peers/types.ts
+++ b/packages/fleet/src/core/peers/types.ts
@@ -26,7 +26,7 @@
   /** Returns the data to send to a peer; undefined sends nothing. */
   collect(peer: string): unknown;
   /** Merges the data that a peer sent. */
-  absorb(from: PeerIdentity, data: unknown): void;
+  merge(from: PeerIdentity, data: unknown): void;
 }
 
 /** Handler of one procedure; called with validated input. */
@@ -59,7 +59,7 @@
     options: PeerCallOptions,
   ): Promise<Output>;
   /** Registers a section of the heartbeat. */
-  contribute(section: HeartbeatSection): void;
+  addHeartbeatSection(section: HeartbeatSection): void;
 }
 
 /** Where a peer listens. */
--- a/packages/fleet/src/core/suspects/arbiter.ts
+++ b/packages/fleet/src/core/suspects/arbiter.ts
@@ -60,7 +60,7 @@
 
   private isInForce({ daemon, incarnation, until }: Claim): boolean {
     if (until <= this.timers.now()) return false;
-    const heard = this.membership.incarnation(daemon);
+    const heard = this.membership.incarnationOf(daemon);
     return heard === undefined || heard <= incarnation;
   }
 }
--- a/packages/fleet/src/core/suspects/registry.ts
+++ b/packages/fleet/src/core/suspects/registry.ts
@@ -62,10 +62,10 @@
       this.arbiter.release(message);
       return true;
     });
-    bus.contribute({
+    bus.addHeartbeatSection({
       name: 'suspects',
       collect: () => this.collect(),
-      absorb: (from, data) => this.absorb(from.name, sectionSchema.parse(data)),
+      merge: (from, data) => this.absorb(from.name, sectionSchema.parse(data)),
     });
     this.expiry = timers.repeat(EXPIRY_INTERVAL_MS, () => this.log.expire());
   }
--- a/packages/fleet/test/custody.test.ts
+++ b/packages/fleet/test/custody.test.ts
@@ -56,7 +56,9 @@
     this.net = new RoughNet(this.timers, (bound) => this.draw(bound));
     for (const name of NAMES) this.start(name);
     this.timers.repeat(BEAT_MS, () => {
-      this.net.beat((at, from) => this.daemons.get(at)?.membership.heard(from.name, from.incarnation));
+      this.net.beat((at, from) =>
+        this.daemons.get(at)?.membership.recordIncarnation(from.name, from.incarnation),
+      );
     });
   }
 
@@ -113,7 +115,7 @@
     this.net.cuts.clear();
     for (const name of NAMES) {
       if (!this.daemons.get(name)!.node.isAlive) this.start(name);
-      this.daemons.get(name)!.membership.list(NAMES);
+      this.daemons.get(name)!.membership.setHosts(NAMES);
     }
     await this.timers.advance(20_000);
   }
@@ -194,12 +196,12 @@
   },
   [StepKind.Mend]: (fleet) => fleet.net.cuts.clear(),
   [StepKind.List]: (fleet, name, { bits }) => {
-    fleet.daemons.get(name)!.membership.list(NAMES.filter((_, index) => isPicked(bits, index)));
+    fleet.daemons.get(name)!.membership.setHosts(NAMES.filter((_, index) => isPicked(bits, index)));
   },
   [StepKind.Sides]: (fleet, _name, { bits }) => {
     NAMES.forEach((name, own) => {
       const side = NAMES.filter((_, index) => isPicked(bits, index) === isPicked(bits, own));
-      fleet.daemons.get(name)!.membership.list(side);
+      fleet.daemons.get(name)!.membership.setHosts(side);
     });
   },
   [StepKind.Wait]: () => undefined,
--- a/packages/fleet/test/distribution.test.ts
+++ b/packages/fleet/test/distribution.test.ts
@@ -106,7 +106,7 @@
     fleet.service.publish(SECOND);
     await fleet.timers.advance(BOUND_MS);
     t.is(fleet.revisions()[2], 1, 'without peers it stays behind');
-    fleet.net.mend();
+    fleet.net.unblockDirection();
     await fleet.timers.advance(BOUND_MS);
     t.is(fleet.revisions()[2], 2);
   });
@@ -134,7 +134,7 @@
     const joiner = fleet.join('entry-1');
     await fleet.timers.advance(BOUND_MS);
     t.deepEqual(joiner.history, [1], 'without peers it believes the service');
-    fleet.net.mend();
+    fleet.net.unblockDirection();
     await fleet.timers.advance(BOUND_MS);
     t.deepEqual(joiner.history, [1, 2]);
   });
@@ -213,9 +213,9 @@
     const joiner = fleet.join('entry-1', { hosts: [], ageMs: Infinity });
     await fleet.timers.advance(1000);
     t.deepEqual(joiner.history, []);
-    fleet.net.mend();
+    fleet.net.unblockDirection();
     joiner.membership.setAge(0);
-    joiner.membership.list(SEVEN);
+    joiner.membership.setHosts(SEVEN);
     await fleet.timers.advance(BOUND_MS);
     t.deepEqual(joiner.history, [2]);
   });
@@ -239,7 +239,7 @@
   await withFleet(t, ['entry-1', 'entry-2', 'liar'], async (fleet) => {
     const liar = fleet.net.join({ name: 'liar' });
     const forged = { revision: 9, digest: 'f'.repeat(32), since: 0, schema: 1 };
-    liar.contribute({ name: 'configuration', collect: () => forged, absorb: () => undefined });
+    liar.addHeartbeatSection({ name: 'configuration', collect: () => forged, merge: () => undefined });
     const answer = async () => ({ bytes: deflateRawSync(SECOND.root) });
     const part = async () => ({ bytes: deflateRawSync('{"items":[],"schema":1,"section":"adapters"} ') });
     liar.handle({ name: 'configuration.root', parse: (raw) => raw }, answer);
@@ -261,7 +261,7 @@
     const older = fleet.net.join({ name: 'older' });
     let schema = 0;
     const collect = () => ({ revision: 0, digest: '', since: 0, schema });
-    older.contribute({ name: 'configuration', collect, absorb: () => undefined });
+    older.addHeartbeatSection({ name: 'configuration', collect, merge: () => undefined });
     fleet.join('entry-1');
     fleet.join('entry-2');
     await fleet.timers.advance(BOUND_MS);
@@ -333,7 +333,7 @@
     fleet.service.publish(THIRD);
     await fleet.timers.advance(BOUND_MS);
     t.is(fleet.revisions()[1], 1);
-    fleet.net.mend();
+    fleet.net.unblockDirection();
     await fleet.timers.advance(BOUND_MS);
     t.deepEqual(fleet.daemons[1]!.history, [1, 3]);
   });
--- a/packages/fleet/test/keys.test.ts
+++ b/packages/fleet/test/keys.test.ts
@@ -67,10 +67,10 @@
 test('without its backup a home admits nothing, and the key can be tried again later', async (t) => {
   const { net, ledgers, makeKey } = await startFleet();
   const key = makeKey();
-  for (const from of NAMES) for (const to of NAMES) if (from !== to) net.cut(from, to);
+  for (const from of NAMES) for (const to of NAMES) if (from !== to) net.blockDirection(from, to);
   const alone = await outcomes(ledgers.map((ledger) => ledger.admit(key, 'f', never)));
   t.deepEqual([...new Set(alone)], ['KeyUnproved']);
-  net.mend();
+  net.unblockDirection();
   await t.notThrowsAsync(ledgers[0]!.admit(key, 'f', never));
 });
 
--- a/packages/fleet/test/leases/failures.test.ts
+++ b/packages/fleet/test/leases/failures.test.ts
@@ -81,8 +81,8 @@
   test(`a request that starts just before a lease that can't be renewed expires ${outcome}`, async (t) => {
     const site = await startSite(hasBounds ? {} : { timesOf: { a: NO_BOUNDS } });
     await acquireIdleLease(site, 'b', 'x@1');
-    site.net.cut('b', 'a');
-    site.net.cut('a', 'b');
+    site.net.blockDirection('b', 'a');
+    site.net.blockDirection('a', 'b');
     await site.run(750);
     const traffic = new CallerTraffic({ site, serviceMs: 3000, sendDelayMs: 100 });
     void traffic.send('b', 'x@1', 10_000);
@@ -99,8 +99,8 @@
     const noBounds = { ...NO_BOUNDS, leaseMs: 0 };
     const site = await startSite(hasBounds ? {} : { timesOf: { c: noBounds } });
     await acquireIdleLease(site, 'b', 'x@1');
-    site.net.cut('b', 'c');
-    site.net.cut('c', 'b');
+    site.net.blockDirection('b', 'c');
+    site.net.blockDirection('c', 'b');
     site.setOwner('c');
     const traffic = new CallerTraffic({ site, serviceMs: 3000, sendDelayMs: 5 });
     void site.daemon('c').dispatcher.acquire(site.createRequest('y@1', 20_000), neverAborted);
--- a/packages/fleet/test/leases/faults.ts
+++ b/packages/fleet/test/leases/faults.ts
@@ -189,13 +189,13 @@
         return handler(input, from);
       }),
     call,
-    contribute: (section) =>
-      bus.contribute({
+    addHeartbeatSection: (section) =>
+      bus.addHeartbeatSection({
         name: section.name,
         collect: (peer) => section.collect(peer),
-        absorb: (from, data) => {
+        merge: (from, data) => {
           process.whenRunning().then(
-            () => section.absorb(from, data),
+            () => section.merge(from, data),
             () => undefined,
           );
         },
--- a/packages/fleet/test/leases/flow.test.ts
+++ b/packages/fleet/test/leases/flow.test.ts
@@ -19,7 +19,7 @@
   t.true(grant.loadWaitMs >= 500);
   t.deepEqual(site.engine('engine-1').loads, ['x@1']);
   grant.release(true);
-  site.net.cut('b', 'a');
+  site.net.blockDirection('b', 'a');
   const second = await dispatcher.acquire(site.createRequest('x@1'), neverAborted);
   t.is(second.loadWaitMs, 0);
   t.true(second.isValid());
--- a/packages/fleet/test/leases/schedule.test.ts
+++ b/packages/fleet/test/leases/schedule.test.ts
@@ -94,8 +94,8 @@
   },
   [Fault.Cut]: (site, _load, { daemon, other, lengthMs }) => {
     const [from = '', to = ''] = [DAEMONS[daemon], DAEMONS[other]];
-    site.net.cut(from, to);
-    site.timers.after(lengthMs, () => site.net.mend(from, to));
+    site.net.blockDirection(from, to);
+    site.timers.after(lengthMs, () => site.net.unblockDirection(from, to));
   },
   [Fault.EngineRestart]: (site, _load, { daemon }) => site.engine(`engine-${(daemon % 2) + 1}`).restart(),
   [Fault.SlowService]: (site, traffic, { daemon, other }) => {
--- a/packages/fleet/test/leases/shares.test.ts
+++ b/packages/fleet/test/leases/shares.test.ts
@@ -71,13 +71,13 @@
   requestAdapters(site, 'a', 60);
   requestAdapters(site, 'b', 60);
   await site.run(2000);
-  site.net.cut('a', 'b');
-  site.net.cut('b', 'a');
+  site.net.blockDirection('a', 'b');
+  site.net.blockDirection('b', 'a');
   await site.run(RUN_MS);
   const halves = [1, 2, 3, 4].map((index) => site.engine(`engine-${index}`).loadStarts.length);
   t.true(halves[0]! + halves[1]! > 0 && halves[2]! + halves[3]! > 0, halves.join(' '));
   const healedAt = site.timers.now();
-  site.net.mend();
+  site.net.unblockDirection();
   await site.run(RUN_MS);
   const starts = loadStartsSince(site, from);
   t.true(worstRate(starts, 4000) <= RATE + 0.25, `${worstRate(starts, 4000)} loads a second`);
@@ -91,8 +91,8 @@
   requestAdapters(site, 'a', 60);
   requestAdapters(site, 'b', 60);
   await site.run(4000);
-  site.net.cut('a', 'b');
-  site.net.cut('b', 'a');
+  site.net.blockDirection('a', 'b');
+  site.net.blockDirection('b', 'a');
   await site.run(6000);
   t.true(worstRate(loadStartsSince(site, from), 2000) > RATE + 0.5);
   await site.stop();
--- a/packages/fleet/test/leases/site.ts
+++ b/packages/fleet/test/leases/site.ts
@@ -89,12 +89,12 @@
 
   readonly membership: Membership = {
     hosts: () => [],
-    host: () => undefined,
+    findHost: () => undefined,
     isLive: (name) => !this.leaving.has(name),
     isReachable: () => true,
-    incarnation: () => undefined,
+    incarnationOf: () => undefined,
     ageMs: () => 0,
-    isDoubtful: () => this.isDoubtful,
+    needsConfirmation: () => this.isDoubtful,
     subscribe: (listener) => this.subscribe(listener),
   };
 
@@ -316,7 +316,7 @@
   async run(ms: number): Promise<void> {
     const stepMs = 50;
     for (let done = 0; done < ms; done += stepMs) {
-      this.net.beat();
+      this.net.exchangeHeartbeats();
       await this.timers.advance(Math.min(stepMs, ms - done));
     }
   }
--- a/packages/fleet/test/limits.test.ts
+++ b/packages/fleet/test/limits.test.ts
@@ -43,7 +43,7 @@
 
   constructor(readonly caller: CallerConfig) {
     for (const name of NAMES) this.start(name, 1);
-    this.timers.repeat(250, () => this.net.beat());
+    this.timers.repeat(250, () => this.net.exchangeHeartbeats());
   }
 
   start(name: string, incarnation: number): void {
@@ -51,7 +51,7 @@
     const isReachable = (peer: string): boolean =>
       !this.dead.has(peer) && !(this.isSplit && SIDE.has(peer) !== SIDE.has(name));
     const membership = createManualMembership(NAMES, isReachable);
-    for (const peer of NAMES) membership.heard(peer, 1);
+    for (const peer of NAMES) membership.recordIncarnation(peer, 1);
     const { timers } = this;
     const custody = createCustody({ bus, membership, timers, log, buckets: 8, absentAfterMs: 3000 });
     const limits = createCallerLimits({ bus, membership, custody, timers, log });
@@ -61,7 +61,7 @@
   split(): void {
     this.isSplit = true;
     for (const from of NAMES) {
-      for (const to of NAMES) if (SIDE.has(from) !== SIDE.has(to)) this.net.cut(from, to);
+      for (const to of NAMES) if (SIDE.has(from) !== SIDE.has(to)) this.net.blockDirection(from, to);
     }
   }
 
@@ -157,7 +157,7 @@
   const before = await fleet.load(all(60), 5000);
   for (const name of NAMES) {
     const side = NAMES.filter((other) => SIDE.has(other) === SIDE.has(name));
-    fleet.daemons.get(name)!.membership.list(side);
+    fleet.daemons.get(name)!.membership.setHosts(side);
   }
   const after = await fleet.load(all(60), 2500);
   t.log({ before, after });
@@ -178,7 +178,7 @@
   rates.delete(home);
   const during = await fleet.load(rates, 2000);
   const rest = NAMES.filter((name) => name !== home);
-  for (const name of rest) fleet.daemons.get(name)!.membership.list(rest);
+  for (const name of rest) fleet.daemons.get(name)!.membership.setHosts(rest);
   await fleet.load(rates, 6000);
   const after = await fleet.load(rates, 5000);
   t.log({ during, after });
--- a/packages/fleet/test/membership.test.ts
+++ b/packages/fleet/test/membership.test.ts
@@ -80,12 +80,12 @@
   const net = createMemoryPeerNet();
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   await a.timers.advance(500);
-  t.false(a.membership.isDoubtful());
+  t.false(a.membership.needsConfirmation());
   a.timers.pause(2_000);
-  t.true(a.membership.isDoubtful());
+  t.true(a.membership.needsConfirmation());
   t.deepEqual(auditKinds(a), [AuditKind.PauseNoticed]);
   await a.timers.advance(1_100);
-  t.false(a.membership.isDoubtful(), 'a read started after the pause confirms the view');
+  t.false(a.membership.needsConfirmation(), 'a read started after the pause confirms the view');
 });
 
 test('a suspension that stops the monotonic clock is detected by the wall clock', async (t) => {
@@ -95,7 +95,7 @@
   const { wall } = a.timers;
   Object.assign(a.timers, { wall: () => wall() + 60_000 });
   t.true(a.membership.ageMs() >= 60_000);
-  t.true(a.membership.isDoubtful());
+  t.true(a.membership.needsConfirmation());
 });
 
 test('a daemon that can not read the host list gets it with its true age from its peers', async (t) => {
@@ -123,13 +123,13 @@
   await advanceAll(net, daemons, 1_500);
   for (const { list } of daemons) list.isDown = true;
   await advanceAll(net, daemons, 3_000);
-  for (const name of ['b', 'c']) net.cut('a', name);
+  for (const name of ['b', 'c']) net.blockDirection('a', name);
   a.timers.pause(10_000);
   await advanceAll(net, daemons, 4_000);
-  t.true(a.membership.isDoubtful());
-  net.mend();
+  t.true(a.membership.needsConfirmation());
+  net.unblockDirection();
   await advanceAll(net, daemons, 4_000);
-  t.false(a.membership.isDoubtful());
+  t.false(a.membership.needsConfirmation());
 });
 
 test('a host that returns at its address with a new incarnation is a new process start', async (t) => {
@@ -137,7 +137,7 @@
   const a = createTestDaemon(net, 'a', entries('a', 'b'));
   let b = createTestDaemon(net, 'b', entries('a', 'b'));
   await advanceAll(net, [a, b], 1_500);
-  t.is(a.membership.incarnation('b'), 1);
+  t.is(a.membership.incarnationOf('b'), 1);
   t.true(a.membership.isReachable('b'));
   let changes = 0;
   a.membership.subscribe(() => {
@@ -149,12 +149,12 @@
   net.leave('b');
   a.list.hosts = entries('a');
   await advanceAll(net, [a], 5_000);
-  t.is(a.membership.incarnation('b'), undefined);
+  t.is(a.membership.incarnationOf('b'), undefined);
   t.false(a.membership.isReachable('b'));
   a.list.hosts = entries('a', 'b');
   b = createTestDaemon(net, 'b', entries('a', 'b'), {}, 2);
   await advanceAll(net, [a, b], 1_500);
-  t.is(a.membership.incarnation('b'), 2);
+  t.is(a.membership.incarnationOf('b'), 2);
   t.true(changes > 0);
 });
 
--- a/packages/fleet/test/ownership.test.ts
+++ b/packages/fleet/test/ownership.test.ts
@@ -221,7 +221,7 @@
       if (ownership.authority(resource) === Authority.Full) removals.push(name);
     };
     // The owner has decided on an order and waits for a connection when the pause begins.
-    net.cut('a', 'b');
+    net.blockDirection('a', 'b');
     setLists(others, entries('b', 'c', 'd'));
     await advanceAll(net, others, BOUND + SPAN, 50);
     others.forEach(sendRemoval);
@@ -272,8 +272,8 @@
   const minority = ['e', 'g'];
   for (const left of majority) {
     for (const right of minority) {
-      net.cut(left, right);
-      net.cut(right, left);
+      net.blockDirection(left, right);
+      net.blockDirection(right, left);
     }
   }
   for (const { name, list } of daemons) {
@@ -287,7 +287,7 @@
   }
   t.true(a.ownership.mayGrant(resource));
   t.is(e.ownership.authority(resource), Authority.Additive);
-  net.mend();
+  net.unblockDirection();
   await advanceAll(net, daemons, 1_000, 50);
   t.is(a.ownership.authority(resource), Authority.None, 'a peer that could read the list tells the others');
   await advanceAll(net, daemons, 1_000, 50);
@@ -301,8 +301,8 @@
   const [a, b] = daemons as [OwningDaemon, OwningDaemon];
   // The owner can be reached by nobody and reads a list that lags as far as it may.
   for (const other of ['b', 'c', 'd']) {
-    net.cut('a', other);
-    net.cut(other, 'a');
+    net.blockDirection('a', other);
+    net.blockDirection(other, 'a');
   }
   setLists(daemons.slice(1), [entry('a', HostState.Leaving), ...entries('b', 'c', 'd')]);
   let most = 0;
@@ -320,7 +320,7 @@
   const net = createMemoryPeerNet();
   const resource = resourceOf('a', 'b', 'c', 'd');
   const daemons = await startOwners(net, ['a', 'b', 'c', 'd'], { resource });
-  for (const left of ['a', 'b']) for (const right of ['c', 'd']) net.cut(left, right);
+  for (const left of ['a', 'b']) for (const right of ['c', 'd']) net.blockDirection(left, right);
   setLists(daemons.slice(1), entries('b', 'c', 'd'));
   await advanceAll(net, daemons, 300, 50);
   setLists(daemons.slice(2), entries('c', 'd'));
--- a/packages/fleet/test/peers.test.ts
+++ b/packages/fleet/test/peers.test.ts
@@ -111,11 +111,11 @@
   const a = await startDaemon('a');
   const b = await startDaemon('b');
   const received: string[] = [];
-  a.bus.contribute({ name: 'news', collect: (peer) => ({ to: peer }), absorb: () => undefined });
-  b.bus.contribute({
+  a.bus.addHeartbeatSection({ name: 'news', collect: (peer) => ({ to: peer }), merge: () => undefined });
+  b.bus.addHeartbeatSection({
     name: 'news',
     collect: () => undefined,
-    absorb: (from, data) => received.push(`${from.name} ${JSON.stringify(data)}`),
+    merge: (from, data) => received.push(`${from.name} ${JSON.stringify(data)}`),
   });
   connectAll(a, b);
   t.is(
@@ -140,8 +140,12 @@
     const a = await startDaemon('a');
     const b = await startDaemon('b');
     const senders: string[] = [];
-    a.bus.contribute({ name: 'news', collect: () => undefined, absorb: (from) => senders.push(from.name) });
-    b.bus.contribute({ name: 'news', collect: () => 'news', absorb: () => undefined });
+    a.bus.addHeartbeatSection({
+      name: 'news',
+      collect: () => undefined,
+      merge: (from) => senders.push(from.name),
+    });
+    b.bus.addHeartbeatSection({ name: 'news', collect: () => 'news', merge: () => undefined });
     const listed = [a, b].map(({ bus, address }) => ({ name: bus.self.name, address }));
     a.bus.updatePeers({ listed, linked: new Set(['b']) });
     b.bus.updatePeers({ listed, linked: new Set() });
@@ -295,18 +299,18 @@
   const b = await startDaemon('b');
   let count = 0;
   const received: number[] = [];
-  a.bus.contribute({
+  a.bus.addHeartbeatSection({
     name: 'count',
     collect: () => {
       count += 1;
       return count;
     },
-    absorb: () => undefined,
+    merge: () => undefined,
   });
-  b.bus.contribute({
+  b.bus.addHeartbeatSection({
     name: 'count',
     collect: () => undefined,
-    absorb: (_, data) => received.push(data as number),
+    merge: (_, data) => received.push(data as number),
   });
   connectAll(a, b);
   await advanceUntil(() => received.length >= 10);
--- a/packages/fleet/test/support/config-fleet.ts
+++ b/packages/fleet/test/support/config-fleet.ts
@@ -183,7 +183,7 @@
   readonly daemons: ConfigDaemon[] = [];
 
   constructor(readonly names: readonly string[]) {
-    this.timers.repeat(BEAT_MS, () => this.net.beat());
+    this.timers.repeat(BEAT_MS, () => this.net.exchangeHeartbeats());
   }
 
   /** Adds a daemon and begins its start; it knows the hosts at once unless another view is given. */
@@ -221,8 +221,8 @@
   /** Cuts a daemon off from its peers, which is how a test switches the mechanism off. */
   isolate(name: string): void {
     for (const other of this.names) {
-      this.net.cut(name, other);
-      this.net.cut(other, name);
+      this.net.blockDirection(name, other);
+      this.net.blockDirection(other, name);
     }
   }
 
--- a/packages/fleet/test/support/fleet.ts
+++ b/packages/fleet/test/support/fleet.ts
@@ -7,9 +7,9 @@
 /** A membership whose hosts, incarnations and age are set by the test. */
 export interface ManualMembership extends Membership {
   /** Replaces the hosts and notifies the subscribers. */
-  list(names: readonly string[]): void;
+  setHosts(names: readonly string[]): void;
   /** Records an incarnation of a peer, as after a heartbeat; an older one is ignored. */
-  heard(peer: string, incarnation: number): void;
+  recordIncarnation(peer: string, incarnation: number): void;
   /** Sets the age of the view in milliseconds. */
   setAge(ms: number): void;
 }
@@ -45,21 +45,21 @@
   let age = 0;
   return {
     hosts: (role) => (role === HostRole.Entry ? hosts : []),
-    host: (name) => hosts.find((host) => host.name === name),
+    findHost: (name) => hosts.find((host) => host.name === name),
     isLive: (name) => hosts.some((host) => host.name === name),
     isReachable: isReachable ?? ((peer) => incarnations.has(peer)),
-    incarnation: (peer) => incarnations.get(peer),
+    incarnationOf: (peer) => incarnations.get(peer),
     ageMs: () => age,
-    isDoubtful: () => false,
+    needsConfirmation: () => false,
     subscribe(listener) {
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
-    list(next) {
+    setHosts(next) {
       hosts = next.map(createEntry);
       for (const listener of listeners) listener();
     },
-    heard(peer, incarnation) {
+    recordIncarnation(peer, incarnation) {
       incarnations.set(peer, Math.max(incarnation, incarnations.get(peer) ?? 0));
     },
     setAge(ms) {
--- a/packages/fleet/test/support/lists.ts
+++ b/packages/fleet/test/support/lists.ts
@@ -92,7 +92,7 @@
   stepMs = 100,
 ): Promise<void> {
   for (let passed = 0; passed < ms; passed += stepMs) {
-    net.beat();
+    net.exchangeHeartbeats();
     for (const { timers } of daemons) await timers.advance(stepMs);
   }
 }
--- a/packages/fleet/test/support/rough-net.ts
+++ b/packages/fleet/test/support/rough-net.ts
@@ -47,7 +47,7 @@
         handle: (procedure, handler) => {
           entry.handlers.set(procedure.name, (raw, from) => handler(procedure.parse(raw), from));
         },
-        contribute: (section) => entry.sections.push(section),
+        addHeartbeatSection: (section) => entry.sections.push(section),
         call: (peer, procedure, input, options) =>
           this.call(entry, peer, procedure.name, input, options.timeoutMs) as Promise<never>,
       },
@@ -75,7 +75,7 @@
     this.send(node.bus.self.name, name, () => {
       if (!peer.isAlive) return;
       onHeard(name, node.bus.self);
-      data.forEach((part, index) => peer.sections[index]?.absorb(node.bus.self, part));
+      data.forEach((part, index) => peer.sections[index]?.merge(node.bus.self, part));
     });
   }
 
--- a/packages/fleet/test/support/world.ts
+++ b/packages/fleet/test/support/world.ts
@@ -91,7 +91,7 @@
 
   /** Ends all failures. */
   heal(): void {
-    this.net.mend();
+    this.net.unblockDirection();
     this.blind.clear();
     for (const name of this.pausedAt.keys()) this.wake(name);
     for (const name of this.names) if (!this.daemons.has(name)) this.startDaemon(name);
@@ -118,8 +118,8 @@
     },
     [FailureKind.Blind]: (name) => this.blind.add(name),
     [FailureKind.Isolate]: (name) => {
-      for (const other of this.names) this.net.cut(name, other);
-      for (const other of this.names) this.net.cut(other, name);
+      for (const other of this.names) this.net.blockDirection(name, other);
+      for (const other of this.names) this.net.blockDirection(other, name);
     },
   };
 
@@ -133,8 +133,8 @@
     [FailureKind.Pause]: (name) => this.wake(name),
     [FailureKind.Blind]: (name) => this.blind.delete(name),
     [FailureKind.Isolate]: (name) => {
-      for (const other of this.names) this.net.mend(name, other);
-      for (const other of this.names) this.net.mend(other, name);
+      for (const other of this.names) this.net.unblockDirection(name, other);
+      for (const other of this.names) this.net.unblockDirection(other, name);
     },
   };
 
@@ -201,7 +201,7 @@
     for (const paused of this.pausedAt.keys()) {
       for (const other of this.names) cuts.push([paused, other], [other, paused]);
     }
-    this.net.beat((from, to) => !cuts.some(([left, right]) => left === from && right === to));
+    this.net.exchangeHeartbeats((from, to) => !cuts.some(([left, right]) => left === from && right === to));
   }
 
   /** Under full authority a daemon removes something whenever it can; the order takes as long as it may. */
--- a/packages/fleet/test/suspects.test.ts
+++ b/packages/fleet/test/suspects.test.ts
@@ -81,14 +81,14 @@
   const { daemons, net } = startFleet();
   const [first, second] = daemons;
   first!.registry.started('neighbour', 'e1');
-  net.cut('d1', 'd7');
+  net.blockDirection('d1', 'd7');
   await first!.registry.crashed('e1');
   t.is(second!.registry.lookUp('neighbour'), Suspicion.Suspect);
   second!.registry.started('neighbour', 'e2');
   t.true(second!.registry.upstreamsWithSuspects().has('e2'));
   second!.registry.ended('neighbour', 'e2', true);
-  net.mend();
-  net.beat();
+  net.unblockDirection();
+  net.exchangeHeartbeats();
   for (const { registry } of daemons) t.is(registry.lookUp('neighbour'), Suspicion.Clear);
 });
 
@@ -100,7 +100,7 @@
   t.truthy(await daemons[1]!.registry.isolate('two', 'e2'));
   held!.leave();
   t.truthy(await daemons[2]!.registry.isolate('two', 'e1'));
-  for (const from of NAMES) for (const to of NAMES) if (from !== to) net.cut(from, to);
+  for (const from of NAMES) for (const to of NAMES) if (from !== to) net.blockDirection(from, to);
   const alone = await Promise.all(daemons.map(({ registry }) => registry.isolate('three', 'e4')));
   t.is(alone.filter((pass) => pass !== undefined).length, 1, 'only the arbiter itself can be asked');
 });
@@ -113,11 +113,11 @@
   await run(fleet, daemons[1]!, CULPRIT);
   const late = fleet.start('d3');
   t.is(late.registry.lookUp(CULPRIT), Suspicion.Clear);
-  net.beat();
+  net.exchangeHeartbeats();
   t.is(late.registry.lookUp(CULPRIT), Suspicion.Quarantined);
   t.is(late.registry.quarantines()[0]?.fingerprint, CULPRIT);
   await timers.advance(61_000);
-  net.beat();
+  net.exchangeHeartbeats();
   for (const { registry, audit } of [late, daemons[0]!]) {
     t.is(registry.lookUp(CULPRIT), Suspicion.Clear);
     t.deepEqual(
@@ -132,8 +132,8 @@
   const { daemons, net, timers } = fleet;
   for (const from of ['d1', 'd2']) {
     for (const to of NAMES.slice(2)) {
-      net.cut(from, to);
-      net.cut(to, from);
+      net.blockDirection(from, to);
+      net.blockDirection(to, from);
     }
   }
   daemons[0]!.registry.started(CULPRIT, 'e1');
@@ -141,7 +141,7 @@
   await timers.advance(5000);
   daemons[4]!.registry.started(CULPRIT, 'e2');
   await daemons[4]!.registry.crashed('e2');
-  net.mend();
-  net.beat();
+  net.unblockDirection();
+  net.exchangeHeartbeats();
   for (const { registry } of daemons) t.is(registry.lookUp(CULPRIT), Suspicion.Quarantined);
 });
