--- a/packages/fleet/src/core/ownership/index.ts
+++ b/packages/fleet/src/core/ownership/index.ts
@@ -1,7 +1,7 @@
 /** Ownership of resources. */
 export { authoritySpanMs, claimBoundMs, takeOverBoundMs } from './bounds.js';
 export { createOwnership } from './ownership.js';
-export { OwnerTable } from './rank.js';
+export { OwnerTable } from './owner-table.js';
 export { DEFAULT_OWNERSHIP_TIMES } from './settings.js';
 export { Arbitration, Authority } from './types.js';
 export type {
--- a/packages/fleet/test/ownership-schedules.test.ts
+++ b/packages/fleet/test/ownership-schedules.test.ts
@@ -3,8 +3,8 @@
 
 import { takeOverBoundMs } from '../src/index.js';
 import { resourceOf, TIMES } from './support/owners.js';
-import type { Failure } from './support/world.js';
-import { FailureKind, World } from './support/world.js';
+import type { Failure } from './support/simulated-fleet.js';
+import { FailureKind, World } from './support/simulated-fleet.js';
 
 const NAMES = ['a', 'b', 'c', 'd'];
 const RESOURCE = resourceOf('b', 'a', 'd', 'c');
