--- a/packages/fleet/src/core/ownership/departures.ts
+++ b/packages/fleet/src/core/ownership/departures.ts
@@ -1,4 +1,4 @@
-/** Daemons that have given up everything for good, before the host list shows it. */
+/** Tracks daemons that have given up all their resources before the host list shows them as gone. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { Moment } from '../membership/clocks.js';
@@ -6,16 +6,16 @@
 import type { OwnershipMembership, OwnershipTimes } from './types.js';
 import { authoritySpanMs } from './bounds.js';
 
-/** One departure. */
 interface Departure {
   readonly incarnation: number | undefined;
-  /** When the daemon was asked last, and said that it has given up. */
-  confirmedFrom: Moment;
+  /** When the last request was sent that the daemon confirmed its departure to. */
+  confirmedAt: Moment;
 }
 
 /**
- * The departures that this daemon knows of. Each counts for one authority span from the last question that confirmed
- * it: a later start of the same host waits longer than that before it acts, so the two can't overlap.
+ * Departures known to this daemon. Each stays active for one authority span after the last request that
+ * confirmed it. A new process on the same host waits longer than that before it acts, so the two can't
+ * overlap.
  */
 export class Departures {
   private readonly departures = new Map<string, Departure>();
@@ -27,29 +27,26 @@
   ) {}
 
   /**
-   * Notes that a daemon has confirmed its departure.
-   * @param name - The daemon.
-   * @param asked - When it was asked.
+   * Records that a daemon has confirmed its departure.
+   * @param requestedAt - When the request was sent.
    */
-  confirm(name: string, asked: Moment): void {
-    this.departures.set(name, { incarnation: this.membership.incarnation(name), confirmedFrom: asked });
+  confirm(name: string, requestedAt: Moment): void {
+    this.departures.set(name, { incarnation: this.membership.incarnation(name), confirmedAt: requestedAt });
   }
 
-  /** Whether a daemon's departure counts at this moment. */
-  has(name: string): boolean {
+  /** Whether a departure applies now: it has not expired, and the daemon has the same incarnation. */
+  isActive(name: string): boolean {
     const departure = this.departures.get(name);
     if (departure === undefined) return false;
     const isSameStart = this.membership.incarnation(name) === departure.incarnation;
-    return isSameStart && elapsedSince(departure.confirmedFrom, this.timers) < authoritySpanMs(this.times);
+    return isSameStart && elapsedSince(departure.confirmedAt, this.timers) < authoritySpanMs(this.times);
   }
 
-  /** Forgets what does not count any more. */
-  prune(): void {
-    for (const name of this.departures.keys()) if (!this.has(name)) this.departures.delete(name);
+  pruneExpired(): void {
+    for (const name of this.departures.keys()) if (!this.isActive(name)) this.departures.delete(name);
   }
 
-  /** Names of the departed. */
-  names(): readonly string[] {
-    return [...this.departures.keys()].filter((name) => this.has(name));
+  activeNames(): readonly string[] {
+    return [...this.departures.keys()].filter((name) => this.isActive(name));
   }
 }
--- a/packages/fleet/src/core/ownership/fencing.ts
+++ b/packages/fleet/src/core/ownership/fencing.ts
@@ -1,17 +1,17 @@
-/** Fencing numbers: greater than any that the engine has shown, and different for different owners. */
+/** Generates fencing tokens that exceed any the engine has reported and that differ between owners. */
 import { hash32 } from '@celeryyoke/core';
 
-const OWNER_RANGE = 2 ** 32;
+const OWNER_HASH_RANGE = 2 ** 32;
 
 /**
- * Makes the next fencing number: the upper part counts owners, the lower part tells apart two daemons that both take
- * over from the same number, so that the engine refuses one of them.
- * @param shown - Greatest number that the engine has shown.
- * @param owner - Name and incarnation of the owner.
- * @returns The number, a safe integer.
+ * Generates the next fencing token. The upper part counts owners. The lower part is a hash of the owner: two
+ * daemons that take over from the same token get different ones, so that the engine refuses one of them.
+ * @param highestToken - Greatest token that the engine has reported.
+ * @param ownerId - Name and incarnation of the owner.
+ * @returns The token, a safe integer.
  */
-export function nextFencing(shown: number, owner: string): number {
-  const term = Math.floor(shown / OWNER_RANGE) + 1;
-  const next = term * OWNER_RANGE + hash32(owner);
-  return Number.isSafeInteger(next) ? next : shown + 1;
+export function nextFencingToken(highestToken: number, ownerId: string): number {
+  const ownerCount = Math.floor(highestToken / OWNER_HASH_RANGE) + 1;
+  const next = ownerCount * OWNER_HASH_RANGE + hash32(ownerId);
+  return Number.isSafeInteger(next) ? next : highestToken + 1;
 }
--- a/packages/fleet/src/core/ownership/index.ts
+++ b/packages/fleet/src/core/ownership/index.ts
@@ -1,4 +1,6 @@
-/** Ownership of resources. */
+/**
+ * Ownership of engines and other resources by daemons, computed from the host list and limited by a lease.
+ */
 export { authoritySpanMs, claimBoundMs, takeOverBoundMs } from './bounds.js';
 export { createOwnership } from './ownership.js';
 export { OwnerTable } from './owner-table.js';
--- a/packages/fleet/src/core/ownership/lease.ts
+++ b/packages/fleet/src/core/ownership/lease.ts
@@ -1,4 +1,4 @@
-/** The lease on the host list: whether this daemon's view is fresh, and what is known when it is not. */
+/** Lease on the host list view: whether the view is fresh and, if it is not, whether peers confirm it. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { Moment } from '../membership/clocks.js';
@@ -6,27 +6,30 @@
 import { CONFIRMING_SHARE } from '../membership/index.js';
 import type { OwnershipMembership, OwnershipTimes } from './types.js';
 
-/** Ticks that may be missed until a stale view counts as unconfirmed in between. */
-const MISSED_TICKS = 5;
+/** If more ticks than this are missed, a stale view counts as unconfirmed in between. */
+const MAX_MISSED_TICKS = 5;
 
-/** A time without a fresh view. */
-interface Lapse {
+/** A period without a fresh view. */
+interface StalePeriod {
   readonly since: Moment;
-  /** Whether most of the fleet confirmed the view all the while. */
+  /** Whether enough of the fleet confirmed the view throughout (`CONFIRMING_SHARE`). */
   isConfirmed: boolean;
 }
 
-/** The last look at the view. */
-interface Look {
-  readonly at: Moment;
+/** Age of the view when it was last checked. */
+interface ViewObservation {
+  readonly observedAt: Moment;
   readonly ageMs: number;
 }
 
-/** The lease on the host list. */
+/**
+ * Tracks the lease that each read of the host list renews. While the view is stale, it also tracks whether
+ * peers have confirmed it without interruption, so that no other owner can have appeared unnoticed.
+ */
 export class ViewLease {
-  private last: Look | undefined;
+  private lastObservation: ViewObservation | undefined;
 
-  private lapse: Lapse | undefined;
+  private stalePeriod: StalePeriod | undefined;
 
   private majoritySince: Moment | undefined;
 
@@ -36,62 +39,67 @@
     private readonly times: OwnershipTimes,
   ) {}
 
-  /** Whether the view is fresh at this moment. */
+  /** Whether the view is at most one lease old and this process has not just been paused. */
   isFresh(): boolean {
     return this.membership.ageMs() <= this.times.leaseMs && !this.membership.isDoubtful();
   }
 
-  /** Whether the view is stale, but most of the fleet has no newer one and had none since it became stale. */
+  /** Whether the view is stale, but most of the fleet has had no newer one since it became stale. */
   isConfirmedStale(): boolean {
-    const { membership, lapse, timers, times } = this;
+    const { membership, stalePeriod, timers, times } = this;
     if (membership.isDoubtful() || membership.ageMs() <= times.leaseMs) return false;
-    const isShort = lapse === undefined || elapsedSince(lapse.since, timers) <= times.staleLimitMs;
-    return isShort && lapse?.isConfirmed !== false && this.isConfirmedNow();
+    const isWithinLimit =
+      stalePeriod === undefined || elapsedSince(stalePeriod.since, timers) <= times.staleLimitMs;
+    return isWithinLimit && stalePeriod?.isConfirmed !== false && this.isConfirmedByPeers();
   }
 
-  /** Whether the view was read after a moment. */
   isRenewedSince(moment: Moment): boolean {
     return this.membership.ageMs() < elapsedSince(moment, this.timers);
   }
 
   /**
-   * Whether more than half of the fleet, this daemon included, has listed the same entry hosts for a whole lease.
-   * An owner that goes on without the list has two thirds on its side, and notices within that time when one turns.
+   * Whether more than half of the fleet, this daemon included, has listed the same entry hosts for a whole
+   * lease. An owner that continues without the list needs two thirds of the fleet to agree with it, and
+   * notices within that time when a peer no longer does.
    */
   hasMajority(): boolean {
-    this.countMajority();
+    this.updateMajority();
     const { majoritySince, timers, times } = this;
     return majoritySince !== undefined && elapsedSince(majoritySince, timers) >= times.leaseMs;
   }
 
   /**
-   * Looks at the view; called at each tick and at each renewal.
-   * @returns Whether the view has been renewed after a time for which nothing is known.
+   * Updates the stale period and the majority; called at each tick and at each renewal of the view.
+   * @returns Whether the view has been renewed after a stale period in which peers did not confirm it
+   * throughout.
    */
-  look(): boolean {
+  update(): boolean {
     const { membership, timers, times } = this;
-    this.countMajority();
+    this.updateMajority();
     const at = readClocks(timers);
     const ageMs = membership.ageMs();
-    const unseen = this.last === undefined ? Infinity : elapsedSince(this.last.at, timers);
-    const ageBefore = this.last === undefined ? Infinity : this.last.ageMs + unseen;
-    this.last = { at, ageMs };
-    if (this.lapse === undefined && ageBefore <= times.leaseMs) return false;
-    this.lapse ??= { since: at, isConfirmed: true };
-    const { lapse } = this;
-    if (unseen > MISSED_TICKS * times.tickMs || !this.isConfirmedNow()) lapse.isConfirmed = false;
-    if (elapsedSince(lapse.since, timers) > times.staleLimitMs) lapse.isConfirmed = false;
+    const sinceLastMs =
+      this.lastObservation === undefined ? Infinity : elapsedSince(this.lastObservation.observedAt, timers);
+    const ageBeforeMs =
+      this.lastObservation === undefined ? Infinity : this.lastObservation.ageMs + sinceLastMs;
+    this.lastObservation = { observedAt: at, ageMs };
+    if (this.stalePeriod === undefined && ageBeforeMs <= times.leaseMs) return false;
+    this.stalePeriod ??= { since: at, isConfirmed: true };
+    const { stalePeriod } = this;
+    if (sinceLastMs > MAX_MISSED_TICKS * times.tickMs || !this.isConfirmedByPeers())
+      stalePeriod.isConfirmed = false;
+    if (elapsedSince(stalePeriod.since, timers) > times.staleLimitMs) stalePeriod.isConfirmed = false;
     if (ageMs > times.leaseMs) return false;
-    this.lapse = undefined;
-    return !lapse.isConfirmed;
+    this.stalePeriod = undefined;
+    return !stalePeriod.isConfirmed;
   }
 
-  private isConfirmedNow(): boolean {
+  private isConfirmedByPeers(): boolean {
     const { agreeing, known } = this.membership.reach();
     return agreeing >= CONFIRMING_SHARE * known;
   }
 
-  private countMajority(): void {
+  private updateMajority(): void {
     const { agreeing, known } = this.membership.reach();
     if (agreeing <= known / 2) this.majoritySince = undefined;
     else this.majoritySince ??= readClocks(this.timers);
--- a/packages/fleet/src/core/ownership/owner-table.ts
+++ b/packages/fleet/src/core/ownership/owner-table.ts
@@ -1,81 +1,76 @@
 /** Rendezvous hashing: every daemon with the same hosts computes the same owner of each resource. */
 import { hash32 } from '@celeryyoke/core';
 
-const WORD = 2 ** 32;
-const HALF_WORD = 2 ** 16;
-const ROUNDS = 4;
+const UINT32_RANGE = 2 ** 32;
+const UINT16_RANGE = 2 ** 16;
+const MIX_ROUNDS = 4;
 
-/** Brings a whole number into the range of an unsigned 32-bit integer. */
-function toWord(value: number): number {
-  return value - Math.floor(value / WORD) * WORD;
+function toUint32(value: number): number {
+  return value - Math.floor(value / UINT32_RANGE) * UINT32_RANGE;
 }
 
-/** Swaps the halves of a word, so that the well mixed upper bits go on to mix the others. */
+/**
+ * Swaps the 16-bit halves of a word, so that the well mixed upper bits affect the others in the next round.
+ */
 function swapHalves(word: number): number {
-  const upper = Math.floor(word / HALF_WORD);
-  return (word - upper * HALF_WORD) * HALF_WORD + upper;
+  const upper = Math.floor(word / UINT16_RANGE);
+  return (word - upper * UINT16_RANGE) * UINT16_RANGE + upper;
 }
 
 /**
- * Mixes two hashes to a rank. Names are hashed once and only their hashes are mixed for each pair, since a large
- * fleet has hundreds of thousands of pairs at each change of the list. Each round is the quadratic step of the
- * cipher RC6, `x * (2x + 1)`, which is one-to-one on words.
+ * Mixes the hashes of a host and a resource into a weight. Names are hashed once and only their hashes are
+ * mixed for each pair, since a large fleet has hundreds of thousands of pairs at each change of the list.
+ * Each round is the quadratic step of the cipher RC6, `x * (2x + 1)`, which is one-to-one on 32-bit words.
  */
-function rankOf(host: number, resource: number): number {
+function rendezvousWeight(host: number, resource: number): number {
   let mixed = host;
-  for (let round = 0; round < ROUNDS; round += 1) {
-    mixed = toWord(mixed + resource);
-    mixed = swapHalves(toWord(Math.imul(mixed, 2 * mixed + 1)));
+  for (let round = 0; round < MIX_ROUNDS; round += 1) {
+    mixed = toUint32(mixed + resource);
+    mixed = swapHalves(toUint32(Math.imul(mixed, 2 * mixed + 1)));
   }
   return mixed;
 }
 
-/** A host that can own. */
-interface Candidate {
+/** A host with the hash of its name. */
+interface HashedHost {
   readonly name: string;
   readonly hash: number;
 }
 
-/** Owners under one set of hosts; each is computed once, when it is first asked for. */
+/** Resource owners for one set of hosts, by rendezvous hashing; each is computed on first use and cached. */
 export class OwnerTable {
-  private readonly candidates: readonly Candidate[];
+  private readonly hosts: readonly HashedHost[];
 
   private readonly owners = new Map<string, string | undefined>();
 
-  /**
-   * Makes a table.
-   * @param hosts - Names of the hosts that can own.
-   */
+  /** @param hosts - Names of the hosts that can own resources. */
   constructor(hosts: readonly string[]) {
-    this.candidates = [...hosts].sort().map((name) => ({ name, hash: hash32(name) }));
+    this.hosts = [...hosts].sort().map((name) => ({ name, hash: hash32(name) }));
   }
 
   /**
-   * Finds the owner of a resource.
-   * @param resource - The resource.
-   * @returns The host, or undefined when there is none.
+   * Returns the owner of a resource.
+   * @returns Name of the host, or undefined when there are no hosts.
    */
   ownerOf(resource: string): string | undefined {
-    if (!this.owners.has(resource)) this.owners.set(resource, this.best(resource, ''));
+    if (!this.owners.has(resource)) this.owners.set(resource, this.highestRanked(resource, ''));
     return this.owners.get(resource);
   }
 
   /**
-   * Finds who would own a resource if one host were not there.
-   * @param resource - The resource.
-   * @param absent - The host.
-   * @returns The next host, or undefined when there is none.
+   * Returns the host that would own a resource without the host `absent`.
+   * @returns Name of the host, or undefined when there is no other.
    */
   ownerWithout(resource: string, absent: string): string | undefined {
-    return this.best(resource, absent);
+    return this.highestRanked(resource, absent);
   }
 
-  private best(resource: string, absent: string): string | undefined {
+  private highestRanked(resource: string, absent: string): string | undefined {
     const hash = hash32(resource, 1);
     let best: string | undefined;
     let bestRank = -1;
-    for (const candidate of this.candidates) {
-      const rank = rankOf(candidate.hash, hash);
+    for (const candidate of this.hosts) {
+      const rank = rendezvousWeight(candidate.hash, hash);
       if (rank <= bestRank || candidate.name === absent) continue;
       best = candidate.name;
       bestRank = rank;
--- a/packages/fleet/src/core/ownership/ownership.ts
+++ b/packages/fleet/src/core/ownership/ownership.ts
@@ -1,4 +1,4 @@
-/** Ownership of resources by one daemon. */
+/** Computes which resources this daemon owns, and hands them over when the owner changes. */
 import type { Log, TimerHandle } from '@celeryyoke/core';
 import { AuditKind } from '@celeryyoke/core';
 import type { HostEntry } from '@celeryyoke/platform';
@@ -7,11 +7,11 @@
 import type { Moment } from '../membership/clocks.js';
 import { elapsedSince, readClocks } from '../membership/clocks.js';
 import type { PeerIdentity } from '../peers/index.js';
-import { Asker } from './release-requester.js';
+import { ReleaseRequester } from './release-requester.js';
 import { authoritySpanMs } from './bounds.js';
 import { Departures } from './departures.js';
-import { nextFencing } from './fencing.js';
-import { GivenUp } from './relinquished-resources.js';
+import { nextFencingToken } from './fencing.js';
+import { RelinquishedResources } from './relinquished-resources.js';
 import { ViewLease } from './lease.js';
 import { OwnerTable } from './owner-table.js';
 import { DEFAULT_OWNERSHIP_TIMES } from './settings.js';
@@ -19,13 +19,17 @@
 import { Tenure } from './tenure.js';
 import type { ManagedOwnership, OwnedResource, OwnershipOptions, OwnershipTimes } from './types.js';
 import { Authority } from './types.js';
-import type { Release, ReleaseAnswer } from './wire.js';
+import type { Release, ReleaseResponse } from './wire.js';
 import { DEPARTING_PROCEDURE, RELEASE_PROCEDURE } from './wire.js';
 
 type Listener = (resource: string, authority: Authority) => void;
 
-/** Ownership computed from the host list. */
-class ListOwnership implements ManagedOwnership {
+/**
+ * Ownership by rendezvous hashing over the live entry hosts of the host list. A resource that this daemon
+ * owns has a tenure, which decides what this daemon may do. When the view changes, tenures start or end: a
+ * new owner requests a release from possible previous owners, and a previous owner releases what it gave up.
+ */
+class HostListOwnership implements ManagedOwnership {
   private readonly times: OwnershipTimes;
 
   private readonly log: Log;
@@ -34,15 +38,15 @@
 
   private readonly departures: Departures;
 
-  private readonly given: GivenUp;
+  private readonly relinquished: RelinquishedResources;
 
-  private readonly asker: Asker;
+  private readonly releaseRequester: ReleaseRequester;
 
   private readonly context: TenureContext;
 
   private readonly tenures = new Map<string, Tenure>();
 
-  private readonly shown = new Map<string, number>();
+  private readonly observedTokens = new Map<string, number>();
 
   private readonly listeners = new Set<Listener>();
 
@@ -52,15 +56,15 @@
 
   private entries: readonly HostEntry[] = [];
 
-  private departed = '';
+  private departuresKey = '';
 
   private resources: readonly OwnedResource[] = [];
 
-  private viewBegun: Moment;
+  private viewReadAt: Moment;
 
-  private retiredAt: Moment | undefined;
+  private departedAt: Moment | undefined;
 
-  private tick: TimerHandle | undefined;
+  private tickTimer: TimerHandle | undefined;
 
   constructor(private readonly options: OwnershipOptions) {
     const { bus, membership, timers, checksLeases = true } = options;
@@ -69,39 +73,41 @@
     this.log = options.log.part('ownership');
     this.lease = new ViewLease(membership, timers, times);
     this.departures = new Departures(membership, timers, times);
-    this.given = new GivenUp(timers, times);
-    this.viewBegun = readClocks(timers);
-    const owner = `${bus.self.name}#${bus.self.incarnation}`;
-    this.context = { owner, timers, times, lease: this.lease, checksLeases };
-    this.asker = new Asker({
+    this.relinquished = new RelinquishedResources(timers, times);
+    this.viewReadAt = readClocks(timers);
+    const ownerId = `${bus.self.name}#${bus.self.incarnation}`;
+    this.context = { ownerId, timers, times, lease: this.lease, checksLeases };
+    this.releaseRequester = new ReleaseRequester({
       bus,
       timers,
       times,
-      onDeparted: (peer, asked) => this.noteDeparted(peer, asked),
-      onReleased: (peer, release) => this.noteReleased(peer, release),
+      onDeparted: (peer, requestedAt) => this.handleDeparture(peer, requestedAt),
+      onReleased: (peer, release) => this.handleRelease(peer, release),
     });
-    bus.handle(RELEASE_PROCEDURE, ({ resources }, from) => Promise.resolve(this.answer(resources, from)));
+    bus.handle(RELEASE_PROCEDURE, ({ resources }, from) =>
+      Promise.resolve(this.handleReleaseRequest(resources, from)),
+    );
     bus.handle(DEPARTING_PROCEDURE, (_, from) => {
-      void this.asker.ask(from.name, this.heirlooms(from.name));
+      void this.releaseRequester.requestRelease(from.name, this.resourcesInheritedFrom(from.name));
       return Promise.resolve(null);
     });
-    this.unsubscribe = membership.subscribe(() => this.review());
+    this.unsubscribe = membership.subscribe(() => this.refresh());
   }
 
   start(): void {
-    this.review();
-    this.tick ??= this.options.timers.repeat(this.times.tickMs, () => this.check());
+    this.refresh();
+    this.tickTimer ??= this.options.timers.repeat(this.times.tickMs, () => this.runTick());
   }
 
   async stop(): Promise<void> {
-    this.tick?.cancel();
+    this.tickTimer?.cancel();
     this.unsubscribe();
   }
 
   ownerOf(resource: string): string | undefined {
     const { name } = this.options.bus.self;
     const owner = this.owners.ownerOf(resource);
-    return this.retiredAt !== undefined && owner === name ? this.owners.ownerWithout(resource, name) : owner;
+    return this.departedAt !== undefined && owner === name ? this.owners.ownerWithout(resource, name) : owner;
   }
 
   authority(resource: string): Authority {
@@ -109,17 +115,19 @@
   }
 
   mayGrant(resource: string): boolean {
-    return this.actingTenure(resource)?.mayGrant() ?? false;
+    return this.actingTenure(resource)?.mayGrantSlotLeases() ?? false;
   }
 
   fencing(resource: string): number {
     const tenure = this.tenures.get(resource);
-    return tenure?.fencing() ?? nextFencing(this.shown.get(resource) ?? 0, this.context.owner);
+    return (
+      tenure?.fencingToken() ?? nextFencingToken(this.observedTokens.get(resource) ?? 0, this.context.ownerId)
+    );
   }
 
-  observeFencing(resource: string, fencing: number): void {
-    this.shown.set(resource, Math.max(fencing, this.shown.get(resource) ?? 0));
-    this.tenures.get(resource)?.observe(fencing);
+  observeFencing(resource: string, token: number): void {
+    this.observedTokens.set(resource, Math.max(token, this.observedTokens.get(resource) ?? 0));
+    this.tenures.get(resource)?.observeFencingToken(token);
   }
 
   needsClaim(resource: string): boolean {
@@ -127,7 +135,7 @@
   }
 
   orderBegan(resource: string): () => void {
-    return this.given.orderBegan(resource);
+    return this.relinquished.trackOrder(resource);
   }
 
   subscribe(listener: Listener): () => void {
@@ -137,128 +145,138 @@
 
   async handOver(signal: AbortSignal): Promise<void> {
     const { bus, membership, timers } = this.options;
-    for (const tenure of this.tenures.values()) this.giveUp(tenure);
-    this.retiredAt ??= readClocks(timers);
-    this.tellChanges();
+    for (const tenure of this.tenures.values()) this.relinquish(tenure);
+    this.departedAt ??= readClocks(timers);
+    this.notifyChanges();
     const peers = membership.hosts(HostRole.Entry).filter(({ name }) => name !== bus.self.name);
     const call = { timeoutMs: this.times.peerTimeoutMs, signal };
     await Promise.allSettled(peers.map(({ name }) => bus.call(name, DEPARTING_PROCEDURE, {}, call)));
-    while (!this.given.isSettled() && !signal.aborted) await timers.sleep(this.times.tickMs);
+    while (!this.relinquished.isReleaseComplete() && !signal.aborted) await timers.sleep(this.times.tickMs);
   }
 
-  /** The tenure under which this daemon may act, if what it rests on still holds at this moment. */
+  /**
+   * Tenure under which this daemon may act at this moment; none after it has departed or while its view is
+   * doubtful.
+   */
   private actingTenure(resource: string): Tenure | undefined {
     const { membership } = this.options;
-    if (this.retiredAt !== undefined || (this.context.checksLeases && membership.isDoubtful()))
+    if (this.departedAt !== undefined || (this.context.checksLeases && membership.isDoubtful()))
       return undefined;
-    // A departure lapses with time alone, without any event.
-    if (this.departures.names().join() !== this.departed) this.review();
+    // A departure expires without an event.
+    if (this.departures.activeNames().join() !== this.departuresKey) this.refresh();
     return this.tenures.get(resource);
   }
 
-  /** Brings the tenures in line with the view. */
-  private review(): void {
-    const hasBroken = this.lease.look();
+  /** Updates tenures and notifies subscribers after a change or renewal of the view. */
+  private refresh(): void {
+    const wasUnconfirmed = this.lease.update();
     const isChanged = this.updateOwners();
-    for (const tenure of this.tenures.values()) if (hasBroken) tenure.restart();
+    for (const tenure of this.tenures.values()) if (wasUnconfirmed) tenure.restart();
     if (isChanged) this.updateTenures();
     const { timers, membership } = this.options;
     const age = membership.ageMs();
     const { now, wall } = readClocks(timers);
-    this.viewBegun = { now: now - age, wall: wall - age };
-    this.tellChanges();
+    this.viewReadAt = { now: now - age, wall: wall - age };
+    this.notifyChanges();
   }
 
-  /** Computes the owners anew when hosts, departures or resources have changed. */
+  /** Recomputes owners if hosts, departures or resources have changed, and returns whether they have. */
   private updateOwners(): boolean {
     const entries = this.options.membership.hosts(HostRole.Entry);
     const resources = this.options.resources();
-    const departed = this.departures.names().join();
-    const isSame = entries === this.entries && departed === this.departed;
+    const departuresKey = this.departures.activeNames().join();
+    const isSame = entries === this.entries && departuresKey === this.departuresKey;
     if (isSame && resources === this.resources) return false;
     if (!isSame) {
       const live = entries.filter(
-        ({ name, state }) => state === HostState.Live && !this.departures.has(name),
+        ({ name, state }) => state === HostState.Live && !this.departures.isActive(name),
       );
       this.owners = new OwnerTable(live.map(({ name }) => name));
     }
     this.entries = entries;
     this.resources = resources;
-    this.departed = departed;
+    this.departuresKey = departuresKey;
     return true;
   }
 
   private updateTenures(): void {
     const self = this.options.bus.self.name;
-    const mine = new Set<string>();
+    const ownedNames = new Set<string>();
     for (const resource of this.resources) {
       if (this.owners.ownerOf(resource.name) !== self) continue;
-      mine.add(resource.name);
+      ownedNames.add(resource.name);
       const tenure = this.tenures.get(resource.name);
-      // An engine that is now said to ignore fencing proves nothing by its number any more.
-      if (tenure?.resource.arbitration !== resource.arbitration) this.begin(resource);
+      // If the configuration now says that the engine ignores fencing, the token in its reports proves
+      // nothing.
+      if (tenure?.resource.arbitration !== resource.arbitration) this.startTenure(resource);
     }
     for (const [name, tenure] of this.tenures) {
-      if (mine.has(name)) continue;
-      // The view that has just come shows another owner; what is given up rests on the view before it.
-      this.giveUp(tenure);
+      if (ownedNames.has(name)) continue;
+      // The new view shows another owner, so the release window counts from the previous view.
+      this.relinquish(tenure);
       this.tenures.delete(name);
-      this.tell(name, tenure, Authority.None);
+      this.notify(name, tenure, Authority.None);
     }
   }
 
-  private begin(resource: OwnedResource): void {
+  private startTenure(resource: OwnedResource): void {
     const { name } = resource;
-    const predecessors = new Set(this.departures.names());
-    const next = this.owners.ownerWithout(name, this.options.bus.self.name);
-    if (next !== undefined) predecessors.add(next);
+    const predecessors = new Set(this.departures.activeNames());
+    const nextOwner = this.owners.ownerWithout(name, this.options.bus.self.name);
+    if (nextOwner !== undefined) predecessors.add(nextOwner);
     for (const host of this.entries) if (host.state === HostState.Leaving) predecessors.add(host.name);
     const tenure = new Tenure(resource, predecessors, this.context);
-    const shown = this.shown.get(name);
-    if (shown !== undefined) tenure.observe(shown);
-    this.given.takeBack(name);
+    const observedToken = this.observedTokens.get(name);
+    if (observedToken !== undefined) tenure.observeFencingToken(observedToken);
+    this.relinquished.remove(name);
     this.tenures.set(name, tenure);
   }
 
-  /** Gives up a tenure that had full authority, so that the next owner need not wait. */
-  private giveUp(tenure: Tenure): void {
-    // A daemon that has retired has given up all that it had; it can't have won anything since.
-    if (tenure.wonBy === undefined || this.retiredAt !== undefined) return;
-    this.given.giveUp(tenure.resource.name, this.viewBegun, tenure.fencing());
+  /**
+   * Gives up a tenure that had full authority, so that the next owner can request a release instead of
+   * waiting.
+   */
+  private relinquish(tenure: Tenure): void {
+    // A departed daemon has given up all its resources and can't have obtained authority since.
+    if (tenure.fullAuthorityBasis === undefined || this.departedAt !== undefined) return;
+    this.relinquished.add(tenure.resource.name, this.viewReadAt, tenure.fencingToken());
   }
 
-  /** Runs at each tick. */
-  private check(): void {
-    this.departures.prune();
-    this.given.prune();
-    this.review();
-    if (this.retiredAt !== undefined) this.holdPlaces(this.retiredAt);
-    else this.askPredecessors();
-    for (const name of this.departures.names()) void this.asker.ask(name, this.heirlooms(name));
+  private runTick(): void {
+    this.departures.pruneExpired();
+    this.relinquished.pruneExpired();
+    this.refresh();
+    if (this.departedAt !== undefined) this.extendReleaseWindows(this.departedAt);
+    else this.requestReleases();
+    for (const name of this.departures.activeNames())
+      void this.releaseRequester.requestRelease(name, this.resourcesInheritedFrom(name));
   }
 
   /**
-   * A daemon that has retired but is still listed as the owner holds the place for the next one, while its last order
-   * is under way; not for longer than one authority span, so that this ends before anyone has waited it out.
+   * Keeps the release windows open while this daemon has departed but is still listed as the owner, so that
+   * it can release after its last order has ended. This stops after one authority span, before any other
+   * daemon can have completed the take-over wait.
    */
-  private holdPlaces(retiredAt: Moment): void {
-    if (elapsedSince(retiredAt, this.options.timers) > authoritySpanMs(this.times)) return;
-    for (const name of this.tenures.keys()) this.given.hold(name, this.viewBegun);
+  private extendReleaseWindows(departedAt: Moment): void {
+    if (elapsedSince(departedAt, this.options.timers) > authoritySpanMs(this.times)) return;
+    for (const name of this.tenures.keys()) this.relinquished.extendReleaseWindow(name, this.viewReadAt);
   }
 
-  private askPredecessors(): void {
-    const wanted = new Map<string, string[]>();
+  private requestReleases(): void {
+    const resourcesByPeer = new Map<string, string[]>();
     for (const [name, tenure] of this.tenures) {
-      if (tenure.wonBy !== undefined) continue;
-      for (const peer of tenure.predecessors) wanted.set(peer, [...(wanted.get(peer) ?? []), name]);
+      if (tenure.fullAuthorityBasis !== undefined) continue;
+      for (const peer of tenure.predecessors)
+        resourcesByPeer.set(peer, [...(resourcesByPeer.get(peer) ?? []), name]);
     }
-    for (const [peer, resources] of wanted) {
-      if (this.options.membership.host(peer) !== undefined) void this.asker.ask(peer, resources);
+    for (const [peer, resources] of resourcesByPeer) {
+      if (this.options.membership.host(peer) !== undefined)
+        void this.releaseRequester.requestRelease(peer, resources);
     }
   }
 
-  /** Resources that come to this daemon once another one has gone. */
-  private heirlooms(from: string): readonly string[] {
+  /** Resources that this daemon owns, or will own once another daemon has departed. */
+  private resourcesInheritedFrom(from: string): readonly string[] {
     const self = this.options.bus.self.name;
     const names = this.resources.map(({ name }) => name);
     return names.filter((name) => {
@@ -267,59 +285,55 @@
     });
   }
 
-  private answer(resources: readonly string[], from: PeerIdentity): ReleaseAnswer {
+  private handleReleaseRequest(resources: readonly string[], from: PeerIdentity): ReleaseResponse {
     const released: Release[] = [];
     for (const resource of resources) {
-      const release = this.given.release(resource, from);
+      const release = this.relinquished.release(resource, from);
       if (release !== undefined) released.push(release);
     }
-    return { departed: this.retiredAt !== undefined, released };
+    return { departed: this.departedAt !== undefined, released };
   }
 
-  private noteDeparted(peer: string, asked: Moment): void {
-    this.departures.confirm(peer, asked);
-    this.review();
+  private handleDeparture(peer: string, requestedAt: Moment): void {
+    this.departures.confirm(peer, requestedAt);
+    this.refresh();
   }
 
-  private noteReleased(peer: string, release: Release): void {
+  private handleRelease(peer: string, release: Release): void {
     const tenure = this.tenures.get(release.resource);
-    if (tenure === undefined || this.retiredAt !== undefined || !this.lease.isFresh()) return;
+    if (tenure === undefined || this.departedAt !== undefined || !this.lease.isFresh()) return;
     this.observeFencing(release.resource, release.fencing);
-    tenure.release();
+    tenure.markReleased();
     this.log.info(`Resource ${release.resource} was handed over by ${peer}.`);
-    this.tellChanges();
+    this.notifyChanges();
   }
 
-  private tellChanges(): void {
-    for (const [name, tenure] of this.tenures) this.tell(name, tenure, this.authority(name));
+  private notifyChanges(): void {
+    for (const [name, tenure] of this.tenures) this.notify(name, tenure, this.authority(name));
   }
 
-  private tell(name: string, tenure: Tenure, authority: Authority): void {
-    const before = tenure.told;
+  private notify(name: string, tenure: Tenure, authority: Authority): void {
+    const before = tenure.notifiedAuthority;
     if (before === authority) return;
-    // The state is kept by the tenure, so that each change is told once.
-    Object.assign(tenure, { told: authority });
-    this.record(name, tenure, before, authority);
+    // Stored on the tenure, so that subscribers are notified once per change.
+    Object.assign(tenure, { notifiedAuthority: authority });
+    this.recordTransition(name, tenure, before, authority);
     for (const listener of this.listeners) listener(name, authority);
   }
 
-  private record(name: string, tenure: Tenure, before: Authority, after: Authority): void {
+  private recordTransition(name: string, tenure: Tenure, before: Authority, after: Authority): void {
     const isTaken = after === Authority.Full;
     if (!isTaken && before !== Authority.Full) return;
     const kind = isTaken ? AuditKind.OwnershipTaken : AuditKind.OwnershipLost;
     const owner = this.owners.ownerOf(name) ?? 'nobody';
-    const lost = owner === this.options.bus.self.name ? 'authority lapsed' : `the owner is ${owner}`;
-    const cause = isTaken ? (tenure.wonBy ?? 'leases are not checked') : lost;
+    const lossCause = owner === this.options.bus.self.name ? 'authority lapsed' : `the owner is ${owner}`;
+    const cause = isTaken ? (tenure.fullAuthorityBasis ?? 'leases are not checked') : lossCause;
     this.log.info(`Ownership of ${name} ${isTaken ? 'taken' : 'lost'}: ${cause}.`);
     this.options.audit.record({ kind, subject: name, cause, before, after });
   }
 }
 
-/**
- * Makes ownership; it checks itself at each tick after its start.
- * @param options - Bus, membership, resources and times.
- * @returns Ownership.
- */
+/** Creates the ownership of a daemon; its periodic checks run after `start`. */
 export function createOwnership(options: OwnershipOptions): ManagedOwnership {
-  return new ListOwnership(options);
+  return new HostListOwnership(options);
 }
--- a/packages/fleet/src/core/ownership/release-requester.ts
+++ b/packages/fleet/src/core/ownership/release-requester.ts
@@ -1,4 +1,6 @@
-/** The next owner's side of a hand-over: it asks those who may have been the owner before. */
+/**
+ * The new owner's side of a handover: requests releases from daemons that may have been the previous owner.
+ */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { Moment } from '../membership/clocks.js';
@@ -6,52 +8,55 @@
 import type { PeerBus } from '../peers/index.js';
 import type { OwnershipTimes } from './types.js';
 import type { Release } from './wire.js';
-import { parseRelease, RELEASE_PROCEDURE } from './wire.js';
+import { parseReleaseResponse, RELEASE_PROCEDURE } from './wire.js';
 
-/** Options of the asking side. */
-export interface AskerOptions {
+export interface ReleaseRequesterOptions {
   readonly bus: PeerBus;
   readonly timers: TimerService;
   readonly times: OwnershipTimes;
-  /** Takes in that a daemon has given up everything. */
-  readonly onDeparted: (peer: string, asked: Moment) => void;
-  /** Takes in a release that still holds. */
+  /** Called when a peer responds that it has departed: it has given up all its resources for good. */
+  readonly onDeparted: (peer: string, requestedAt: Moment) => void;
+  /** Called for each release that is still valid when the response arrives. */
   readonly onReleased: (peer: string, release: Release) => void;
 }
 
-/** Asks each daemon at most one question at a time. */
-export class Asker {
-  private readonly asking = new Set<string>();
+/** Calls `ownership.release` on peers, with at most one request in flight to each. */
+export class ReleaseRequester {
+  private readonly pendingPeers = new Set<string>();
 
-  constructor(private readonly options: AskerOptions) {}
+  constructor(private readonly options: ReleaseRequesterOptions) {}
 
   /**
-   * Asks a daemon for what it has given up.
-   * @param peer - The daemon.
-   * @param resources - What this daemon waits for.
+   * Requests the release of resources from a peer. A failed call is ignored: the next tick requests them
+   * again.
+   * @param resources - Resources that this daemon is waiting for.
    */
-  async ask(peer: string, resources: readonly string[]): Promise<void> {
-    if (this.asking.has(peer)) return;
-    this.asking.add(peer);
+  async requestRelease(peer: string, resources: readonly string[]): Promise<void> {
+    if (this.pendingPeers.has(peer)) return;
+    this.pendingPeers.add(peer);
     const { bus, timers, times, onDeparted, onReleased } = this.options;
-    const asked = readClocks(timers);
+    const requestedAt = readClocks(timers);
     try {
-      const question = { resources: [...resources] };
-      const answer = parseRelease(
-        await bus.call(peer, RELEASE_PROCEDURE, question, { timeoutMs: times.peerTimeoutMs }),
+      const request = { resources: [...resources] };
+      const response = parseReleaseResponse(
+        await bus.call(peer, RELEASE_PROCEDURE, request, { timeoutMs: times.peerTimeoutMs }),
       );
-      if (answer.departed) onDeparted(peer, asked);
-      for (const release of answer.released) if (this.holds(release, asked)) onReleased(peer, release);
+      if (response.departed) onDeparted(peer, requestedAt);
+      for (const release of response.released)
+        if (this.isStillValid(release, requestedAt)) onReleased(peer, release);
     } catch {
-      // The question is asked again at the next tick, and the wait goes on meanwhile.
+      // The next tick sends the request again; the take-over wait continues meanwhile.
     } finally {
-      this.asking.delete(peer);
+      this.pendingPeers.delete(peer);
     }
   }
 
-  /** The answer was made after the question, so the time left counts from the question on. */
-  private holds({ leftMs }: Release, asked: Moment): boolean {
+  /**
+   * Whether the previous owner's lease would still be running. `leftMs` was measured after the request was
+   * sent, so counting it from the request underestimates the remaining time.
+   */
+  private isStillValid({ leftMs }: Release, requestedAt: Moment): boolean {
     const { timers, times } = this.options;
-    return elapsedSince(asked, timers) < leftMs * (1 - 2 * times.driftShare);
+    return elapsedSince(requestedAt, timers) < leftMs * (1 - 2 * times.driftShare);
   }
 }
--- a/packages/fleet/src/core/ownership/relinquished-resources.ts
+++ b/packages/fleet/src/core/ownership/relinquished-resources.ts
@@ -1,4 +1,4 @@
-/** The last owner's side of a hand-over: what it has given up, and to whom. */
+/** The previous owner's side of a handover: which resources it has given up, and to which daemon. */
 import type { TimerService } from '@celeryyoke/core';
 
 import type { Moment } from '../membership/clocks.js';
@@ -7,20 +7,24 @@
 import type { OwnershipTimes } from './types.js';
 import type { Release } from './wire.js';
 
-/** A resource that this daemon had full authority over and gave up. */
-interface Given {
-  /** When the last view that showed this daemon as the owner was read. */
-  begun: Moment;
-  readonly fencing: number;
-  /** The one daemon to which it was released. */
-  grantedTo?: string;
+/** A resource over which this daemon had full authority and that it gave up. */
+interface RelinquishedResource {
+  /** When the last view that showed this daemon as the owner was read; the release window starts here. */
+  viewReadAt: Moment;
+  readonly fencingToken: number;
+  /** Name and incarnation of the daemon that it was released to. */
+  releasedTo?: string;
 }
 
-/** What this daemon has given up. */
-export class GivenUp {
-  private readonly given = new Map<string, Given>();
+/**
+ * Resources that this daemon has given up, with its orders in flight. A resource is released to at most one
+ * daemon, after its last order has ended and within one lease of the last view that showed this daemon as the
+ * owner.
+ */
+export class RelinquishedResources {
+  private readonly relinquished = new Map<string, RelinquishedResource>();
 
-  private readonly orders = new Map<string, number>();
+  private readonly ordersInFlight = new Map<string, number>();
 
   constructor(
     private readonly timers: TimerService,
@@ -28,78 +32,76 @@
   ) {}
 
   /**
-   * Notes an order under way.
-   * @param resource - What it is about.
-   * @returns Ends it.
+   * Counts an order in flight; the resource is not released before it has ended.
+   * @returns A function that marks the order as ended; further calls have no effect.
    */
-  orderBegan(resource: string): () => void {
-    this.orders.set(resource, (this.orders.get(resource) ?? 0) + 1);
-    let ended = false;
+  trackOrder(resource: string): () => void {
+    this.ordersInFlight.set(resource, (this.ordersInFlight.get(resource) ?? 0) + 1);
+    let hasEnded = false;
     return () => {
-      if (ended) return;
-      ended = true;
-      const left = (this.orders.get(resource) ?? 1) - 1;
-      if (left === 0) this.orders.delete(resource);
-      else this.orders.set(resource, left);
+      if (hasEnded) return;
+      hasEnded = true;
+      const remaining = (this.ordersInFlight.get(resource) ?? 1) - 1;
+      if (remaining === 0) this.ordersInFlight.delete(resource);
+      else this.ordersInFlight.set(resource, remaining);
     };
   }
 
   /**
-   * Notes that this daemon will not act on a resource again under the authority that it had.
-   * @param resource - The resource.
-   * @param begun - When the last view that showed this daemon as the owner was read.
-   * @param fencing - The last fencing number.
+   * Records that this daemon will not act on a resource again under the authority that it had.
+   * @param viewReadAt - When the last view that showed this daemon as the owner was read.
+   * @param fencingToken - Last fencing token of this daemon.
    */
-  giveUp(resource: string, begun: Moment, fencing: number): void {
-    if (!this.given.has(resource)) this.given.set(resource, { begun, fencing });
+  add(resource: string, viewReadAt: Moment, fencingToken: number): void {
+    if (!this.relinquished.has(resource)) this.relinquished.set(resource, { viewReadAt, fencingToken });
   }
 
   /**
-   * Holds the place for the next owner: a later view still shows this daemon, which has retired, as the owner. What
-   * was released to another daemon is not held any more; its place is that daemon's own.
-   * @param resource - The resource.
-   * @param begun - When the later view was read.
+   * Restarts the release window when a later view still shows this daemon, which has departed, as the owner.
+   * A resource that has been released is left alone, since it now belongs to the other daemon.
+   * @param viewReadAt - When the later view was read.
    */
-  hold(resource: string, begun: Moment): void {
-    const given = this.given.get(resource);
-    if (given !== undefined && given.grantedTo === undefined) given.begun = begun;
+  extendReleaseWindow(resource: string, viewReadAt: Moment): void {
+    const entry = this.relinquished.get(resource);
+    if (entry !== undefined && entry.releasedTo === undefined) entry.viewReadAt = viewReadAt;
   }
 
-  /** Notes that this daemon is the owner again, under a new wait. */
-  takeBack(resource: string): void {
-    this.given.delete(resource);
+  /** Forgets a resource that this daemon owns again; its new tenure starts with a wait of its own. */
+  remove(resource: string): void {
+    this.relinquished.delete(resource);
   }
 
   /**
-   * Releases a resource to a daemon that sees itself as the owner, once no order is under way. Only one daemon gets it,
-   * and only while this daemon's own lease would still have run: until then nobody can have become the owner by waiting.
-   * @param resource - The resource.
-   * @param to - Who asks.
-   * @returns The release, or undefined when there is none to give.
+   * Releases a resource to a daemon that sees itself as the owner, once no order is in flight. Only one
+   * daemon gets it, and only while this daemon's own lease would still be running: until then no other daemon
+   * can have completed the take-over wait.
+   * @param to - The daemon that requests it.
+   * @returns The release, or undefined when the resource can't be released to that daemon now.
    */
   release(resource: string, to: PeerIdentity): Release | undefined {
-    const given = this.given.get(resource);
-    if (given === undefined || this.orders.has(resource)) return undefined;
-    const leftMs = this.times.leaseMs - elapsedSince(given.begun, this.timers);
-    const asker = `${to.name}#${to.incarnation}`;
-    given.grantedTo ??= leftMs > 0 ? asker : undefined;
-    if (leftMs <= 0 || given.grantedTo !== asker) return undefined;
-    return { resource, leftMs, fencing: given.fencing };
+    const entry = this.relinquished.get(resource);
+    if (entry === undefined || this.ordersInFlight.has(resource)) return undefined;
+    const leftMs = this.times.leaseMs - elapsedSince(entry.viewReadAt, this.timers);
+    const requester = `${to.name}#${to.incarnation}`;
+    entry.releasedTo ??= leftMs > 0 ? requester : undefined;
+    if (leftMs <= 0 || entry.releasedTo !== requester) return undefined;
+    return { resource, leftMs, fencing: entry.fencingToken };
   }
 
-  /** Whether everything that can be released has been. */
-  isSettled(): boolean {
-    for (const given of this.given.values()) {
-      const isLapsed = elapsedSince(given.begun, this.timers) > this.times.leaseMs;
-      if (given.grantedTo === undefined && !isLapsed) return false;
+  /** Whether each resource has been released, or can't be any more. */
+  isReleaseComplete(): boolean {
+    for (const entry of this.relinquished.values()) {
+      const isExpired = elapsedSince(entry.viewReadAt, this.timers) > this.times.leaseMs;
+      if (entry.releasedTo === undefined && !isExpired) return false;
     }
     return true;
   }
 
-  /** Forgets what can't be released any more. */
-  prune(): void {
-    for (const [resource, given] of this.given) {
-      if (elapsedSince(given.begun, this.timers) > this.times.leaseMs) this.given.delete(resource);
+  /** Removes resources whose release window has ended. */
+  pruneExpired(): void {
+    for (const [resource, entry] of this.relinquished) {
+      if (elapsedSince(entry.viewReadAt, this.timers) > this.times.leaseMs)
+        this.relinquished.delete(resource);
     }
   }
 }
--- a/packages/fleet/src/core/ownership/settings.ts
+++ b/packages/fleet/src/core/ownership/settings.ts
@@ -1,7 +1,7 @@
-/** Defaults of ownership. */
+/** Default time bounds of ownership. */
 import type { OwnershipTimes } from './types.js';
 
-/** Defaults; the daemon sets those that its settings name. */
+/** Defaults; the daemon overrides those that its settings name. */
 export const DEFAULT_OWNERSHIP_TIMES: OwnershipTimes = {
   leaseMs: 5_000,
   hostListLagMs: 3_000,
--- a/packages/fleet/src/core/ownership/types.ts
+++ b/packages/fleet/src/core/ownership/types.ts
@@ -1,4 +1,6 @@
-/** Who owns a resource: computed from the host list, held only as long as the list is fresh. */
+/**
+ * Types of resource ownership, which is computed from the host list and valid only while the list is fresh.
+ */
 import type { AuditTrail, Log, TimerService } from '@celeryyoke/core';
 
 import type { Membership, Reach } from '../membership/index.js';
@@ -8,50 +10,52 @@
 export enum Authority {
   /** Another daemon owns it, or this one is in doubt. */
   None = 'none',
-  /** This daemon is the owner, but waits out the lease of the last one. */
+  /** This daemon is the owner, but waits until the previous owner can no longer act. */
   Waiting = 'waiting',
-  /** Orders that remove nothing may be sent; another daemon may hold authority too. */
+  /** Orders that remove nothing may be sent; another daemon may have authority too. */
   Additive = 'additive',
-  /** Every order may be sent; no other daemon has authority, nor an order of its own under way. */
+  /** Every order may be sent; no other daemon has authority or an order in flight. */
   Full = 'full',
 }
 
-/** Owners of resources. */
+/** Tells which daemon owns a resource, and what this daemon may do about it. */
 export interface Ownership {
-  /** The daemon that owns a resource, by this daemon's view. */
+  /** The daemon that owns a resource in this daemon's view. */
   ownerOf(resource: string): string | undefined;
-  /** What this daemon may do about a resource at this moment; ask in the same step that sends the order. */
+  /**
+   * What this daemon may do about a resource at this moment; call it in the same step that sends the order.
+   */
   authority(resource: string): Authority;
   /**
-   * Whether slot leases on what the engine has loaded may be granted at this moment: under full authority, and when
+   * Whether slot leases on resident adapters may be granted at this moment: under full authority, and when
    * the host list is stale for most of the fleet, so that no other daemon can have become the owner.
    */
   mayGrant(resource: string): boolean;
-  /** Fencing number for orders about a resource. */
+  /** Fencing token for orders about a resource. */
   fencing(resource: string): number;
-  /** Notes the fencing number that an engine shows in a report or an answer; call it for each report. */
-  observeFencing(resource: string, fencing: number): void;
+  /** Records the fencing token in a report or response of an engine; call it for each report. */
+  observeFencing(resource: string, token: number): void;
   /**
-   * Whether the engine has not shown this owner's fencing number yet. Any order carries it there; if there is none
-   * to send, an order for the role that the engine has already does.
+   * Whether the engine has not reported this owner's fencing token yet. Any order carries the token to the
+   * engine; if there is none to send, use an order that sets the engine's current role.
    */
   needsClaim(resource: string): boolean;
   /**
-   * Notes an order about a resource under way; the resource is not handed over before it has ended.
-   * @returns Ends it; an order whose outcome is unknown ends only when its time limit has passed.
+   * Counts an order in flight; the resource is not handed over before it has ended.
+   * @returns A function that marks the order as ended. An order whose outcome is unknown ends at its timeout.
    */
   orderBegan(resource: string): () => void;
-  /** Subscribes to ownership taken and lost, and to changes of authority. */
+  /** Subscribes to changes of authority, gain and loss of ownership included. */
   subscribe(listener: (resource: string, authority: Authority) => void): () => void;
 }
 
-/** Who decides when two daemons both hold themselves for the owner. */
+/** What keeps two daemons that both consider themselves the owner from sending conflicting orders. */
 export enum Arbitration {
-  /** The engine: it refuses orders with an old fencing number. */
+  /** The engine refuses orders with an old fencing token. */
   Fenced = 'fenced',
-  /** Nobody: the new owner waits. Orders that remove nothing may be sent meanwhile. */
+  /** The new owner waits; orders that remove nothing may be sent meanwhile. */
   Unfenced = 'unfenced',
-  /** Nobody: the new owner waits and does nothing meanwhile, as with load permits. */
+  /** The new owner waits and sends no orders meanwhile, as with load permits. */
   Exclusive = 'exclusive',
 }
 
@@ -61,60 +65,59 @@
   readonly arbitration: Arbitration;
 }
 
-/** Times that the bounds of a take-over are made from, in milliseconds. */
+/** Times from which the bounds of a take-over are derived. */
 export interface OwnershipTimes {
-  /** Longest age of the view of the host list under which an owner acts. */
+  /** Greatest age of the host list view on which an owner acts. */
   readonly leaseMs: number;
-  /** Longest time by which the host list lags. */
+  /** Greatest lag of the host list. */
   readonly hostListLagMs: number;
-  /** Time limit of an order that removes something, with the time that it may need to arrive. */
+  /** Timeout of an order that removes something, including the time that it may need to arrive. */
   readonly removalMs: number;
   /** Interval between reads of an engine's report. */
   readonly reportPollMs: number;
-  /** Longest time by which an engine's report lags. */
+  /** Greatest lag of an engine's report. */
   readonly reportLagMs: number;
-  /** Longest time for which a slot lease lets its holder start requests. */
+  /** Longest time for which a holder may start requests under a slot lease. */
   readonly slotLeaseMs: number;
-  /** Bound on the drift between two monotonic clocks, as a share. */
+  /** Bound on the relative drift between two monotonic clocks, from 0 to 1. */
   readonly driftShare: number;
-  /** For how long the owner that was goes on without a fresh host list. */
+  /** Longest time for which an owner continues without a fresh host list. */
   readonly staleLimitMs: number;
-  /** Interval of the checks, and of the questions to the last owner. */
+  /** Interval of the checks and of the requests to the previous owner. */
   readonly tickMs: number;
-  /** Time limit of one question. */
+  /** Timeout of one call to a peer. */
   readonly peerTimeoutMs: number;
 }
 
-/** What ownership needs of membership. */
+/** Membership with the operations that ownership needs. */
 export interface OwnershipMembership extends Membership {
-  /** Counts the peers that hold the same view now. */
+  /** Counts the peers that currently have the same view. */
   reach(): Reach;
 }
 
-/** Options of ownership. */
 export interface OwnershipOptions {
   readonly bus: PeerBus;
   readonly membership: OwnershipMembership;
   readonly timers: TimerService;
   readonly log: Log;
   readonly audit: AuditTrail;
-  /** Resources that the configuration in force names. */
+  /** Resources named in the current configuration; a new array when they change. */
   readonly resources: () => readonly OwnedResource[];
   readonly times?: Partial<OwnershipTimes>;
-  /** Whether leases are checked and waited out; only the failure tests switch it off. */
+  /** Whether leases are checked and take-overs wait; only tests of failures disable it. */
   readonly checksLeases?: boolean;
 }
 
-/** Ownership as the process runs it. */
+/** Ownership with its lifecycle. */
 export interface ManagedOwnership extends Ownership {
-  /** Starts the checks. */
+  /** Starts the periodic checks. */
   start(): void;
   /**
-   * Gives up everything for good and hands it to the next owners, for a graceful shutdown.
-   * @param signal - Gives up waiting for orders that are under way.
-   * @returns A promise that settles when the next owners were told.
+   * Gives up all resources for good and releases them to the next owners, for a graceful shutdown.
+   * @param signal - Stops the wait for orders in flight and for the next owners.
+   * @returns A promise that settles when each resource has been released or can't be any more.
    */
   handOver(signal: AbortSignal): Promise<void>;
-  /** Stops the checks. */
+  /** Stops the periodic checks. */
   stop(): Promise<void>;
 }
--- a/packages/fleet/src/core/ownership/wire.ts
+++ b/packages/fleet/src/core/ownership/wire.ts
@@ -1,52 +1,51 @@
-/** Messages with which ownership is handed over. */
+/** Peer messages of an ownership handover. */
 import { z } from 'zod';
 
 import type { PeerProcedure } from '../peers/index.js';
 
 const MAX_RESOURCES = 4_096;
 
-const questionSchema = z.object({ resources: z.array(z.string()).max(MAX_RESOURCES) });
+const releaseRequestSchema = z.object({ resources: z.array(z.string()).max(MAX_RESOURCES) });
 
 const releaseSchema = z.object({
   resource: z.string(),
-  /** For how long from the answer on the last owner's lease would still have run. */
+  /** Milliseconds, from the response on, for which the previous owner's lease would still have run. */
   leftMs: z.number(),
-  /** Fencing number of the last owner. */
+  /** Fencing token of the previous owner. */
   fencing: z.number(),
 });
 
-const answerSchema = z.object({
-  /** Whether this daemon has given up everything for good. */
+const releaseResponseSchema = z.object({
+  /** Whether the responding daemon has given up all its resources for good. */
   departed: z.boolean(),
   released: z.array(releaseSchema),
 });
 
-/** Asks the last owner which resources it has given up. */
-export type ReleaseQuestion = z.infer<typeof questionSchema>;
+/** Requests the release of resources from a daemon that may have owned them. */
+export type ReleaseRequest = z.infer<typeof releaseRequestSchema>;
 
-/** One resource that was given up. */
+/** A resource that its previous owner releases. */
 export type Release = z.infer<typeof releaseSchema>;
 
-/** What the last owner has given up. */
-export type ReleaseAnswer = z.infer<typeof answerSchema>;
+/** Releases granted, and whether the responding daemon has departed. */
+export type ReleaseResponse = z.infer<typeof releaseResponseSchema>;
 
-/** Asks a daemon for what it has given up. */
-export const RELEASE_PROCEDURE: PeerProcedure<ReleaseQuestion, ReleaseAnswer> = {
+/** `ownership.release`, served by every daemon. */
+export const RELEASE_PROCEDURE: PeerProcedure<ReleaseRequest, ReleaseResponse> = {
   name: 'ownership.release',
-  parse: (raw) => questionSchema.parse(raw),
+  parse: (raw) => releaseRequestSchema.parse(raw),
 };
 
-/** Tells that the sender gives up everything for good; the receiver then asks it. */
+/** `ownership.departing`: the sender gives up all its resources; the receiver then requests their release. */
 export const DEPARTING_PROCEDURE: PeerProcedure<Record<string, never>, null> = {
   name: 'ownership.departing',
   parse: () => ({}),
 };
 
 /**
- * Checks an answer.
- * @param raw - What came.
- * @returns The answer.
+ * Validates the response to a release request.
+ * @throws ZodError when it does not match the schema.
  */
-export function parseRelease(raw: unknown): ReleaseAnswer {
-  return answerSchema.parse(raw);
+export function parseReleaseResponse(raw: unknown): ReleaseResponse {
+  return releaseResponseSchema.parse(raw);
 }
--- a/packages/fleet/test/ownership.test.ts
+++ b/packages/fleet/test/ownership.test.ts
@@ -12,30 +12,30 @@
   takeOverBoundMs,
 } from '../src/index.js';
 import { advanceAll, entries, entry } from './support/lists.js';
-import type { OwningDaemon } from './support/owners.js';
+import type { OwnerDaemon } from './support/owners.js';
 import {
-  createOwningDaemon,
-  fullOwners,
-  resourceOf,
+  createOwnerDaemon,
+  daemonsWithFullAuthority,
+  resourceOwnedInOrder,
   startOwners,
-  TIMES,
-  timeUntil,
+  TEST_TIMES,
+  simulatedMsUntil,
 } from './support/owners.js';
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-const BOUND = takeOverBoundMs(TIMES);
-const SPAN = 200 + TIMES.tickMs;
+const TAKE_OVER_BOUND_MS = takeOverBoundMs(TEST_TIMES);
+const DETECTION_MS = 200 + TEST_TIMES.tickMs;
 
-function setLists(daemons: readonly OwningDaemon[], hosts: ReturnType<typeof entries>): void {
+function setLists(daemons: readonly OwnerDaemon[], hosts: ReturnType<typeof entries>): void {
   for (const { list } of daemons) list.hosts = hosts;
 }
 
 test('the bounds follow from the settings', (t) => {
-  t.is(BOUND, 2 * (600 + 1_000));
-  t.is(claimBoundMs(TIMES), 300 + 100 + 500);
+  t.is(TAKE_OVER_BOUND_MS, 2 * (600 + 1_000));
+  t.is(claimBoundMs(TEST_TIMES), 300 + 100 + 500);
   t.is(Math.round(takeOverBoundMs(DEFAULT_OWNERSHIP_TIMES)), 16_323);
   t.is(Math.round(claimBoundMs(DEFAULT_OWNERSHIP_TIMES)), 8_162);
-  t.is(takeOverBoundMs({ ...TIMES, removalMs: 5_000 }), 1_600 + 5_000);
+  t.is(takeOverBoundMs({ ...TEST_TIMES, removalMs: 5_000 }), 1_600 + 5_000);
 });
 
 test('owners are spread evenly, and one host more or less moves only its own resources', (t) => {
@@ -53,20 +53,24 @@
   for (const count of counts.values()) t.true(count > 230 && count < 345, `${count}`);
 });
 
-test('after a crash the next owner adds at once and removes when the bound is over', async (t) => {
+test('after a crash the next owner may load at once, and unload after the take-over bound', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const [a, ...others] = await startOwners(net, ['a', 'b', 'c', 'd'], { resource });
-  const [b] = others as [OwningDaemon];
-  t.deepEqual(fullOwners([a!, ...others], resource), ['a']);
+  const [b] = others as [OwnerDaemon];
+  t.deepEqual(daemonsWithFullAuthority([a!, ...others], resource), ['a']);
   t.is(b.ownership.authority(resource), Authority.None);
   net.leave('a');
   setLists(others, entries('b', 'c', 'd'));
-  const added = await timeUntil(net, others, () => b.ownership.authority(resource) === Authority.Additive);
-  t.true(added <= SPAN, `${added}`);
+  const added = await simulatedMsUntil(
+    net,
+    others,
+    () => b.ownership.authority(resource) === Authority.Additive,
+  );
+  t.true(added <= DETECTION_MS, `${added}`);
   t.false(b.ownership.mayGrant(resource));
-  const full = await timeUntil(net, others, () => b.ownership.authority(resource) === Authority.Full);
-  t.true(full >= BOUND - SPAN && full <= BOUND + SPAN, `${full}`);
+  const full = await simulatedMsUntil(net, others, () => b.ownership.authority(resource) === Authority.Full);
+  t.true(full >= TAKE_OVER_BOUND_MS - DETECTION_MS && full <= TAKE_OVER_BOUND_MS + DETECTION_MS, `${full}`);
   t.true(b.ownership.mayGrant(resource));
   const taken = b.audit.read().filter(({ kind }) => kind === AuditKind.OwnershipTaken);
   t.deepEqual(
@@ -75,17 +79,17 @@
   );
 });
 
-test('an engine that honours fencing lets the next owner begin sooner', async (t) => {
+test('an engine that checks fencing tokens gives the next owner full authority sooner', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const options = { resource, arbitration: Arbitration.Fenced };
   const [a, ...others] = await startOwners(net, ['a', 'b', 'c', 'd'], options);
-  const [b] = others as [OwningDaemon];
+  const [b] = others as [OwnerDaemon];
   const old = a!.ownership.fencing(resource);
   for (const { ownership } of others) ownership.observeFencing(resource, old);
   net.leave('a');
   setLists(others, entries('b', 'c', 'd'));
-  await timeUntil(net, others, () => b.ownership.authority(resource) === Authority.Additive);
+  await simulatedMsUntil(net, others, () => b.ownership.authority(resource) === Authority.Additive);
   t.true(b.ownership.needsClaim(resource));
   const mine = b.ownership.fencing(resource);
   t.true(mine > old);
@@ -95,16 +99,20 @@
     b.ownership.observeFencing(resource, mine);
     await advanceAll(net, others, 50, 50);
   }
-  t.true(passed >= claimBoundMs(TIMES) && passed <= claimBoundMs(TIMES) + 100, `${passed}`);
+  t.true(passed >= claimBoundMs(TEST_TIMES) && passed <= claimBoundMs(TEST_TIMES) + 100, `${passed}`);
   t.false(b.ownership.needsClaim(resource));
-  // The host list is stale for all, but the engine still shows this owner's number.
+  // The host list is stale for all daemons, but the engine still reports this owner's token.
   for (const { list } of others) list.isDown = true;
   await advanceAll(net, others, 5_000, 50);
   b.ownership.observeFencing(resource, mine);
   t.is(b.ownership.authority(resource), Authority.Full);
   await advanceAll(net, others, 400, 50);
-  t.is(b.ownership.authority(resource), Authority.Additive, 'without reports the engine proves nothing');
-  // Another daemon has claimed a greater number.
+  t.is(
+    b.ownership.authority(resource),
+    Authority.Additive,
+    'without fresh reports a claim gives no full authority',
+  );
+  // Another daemon has claimed a greater token.
   b.ownership.observeFencing(resource, mine * 2);
   t.is(b.ownership.authority(resource), Authority.None);
   for (const { list } of others) list.isDown = false;
@@ -113,11 +121,11 @@
   t.true(b.ownership.fencing(resource) > mine * 2);
 });
 
-test('an engine that is declared to ignore fencing after all proves nothing any more', async (t) => {
+test('full authority ends when the configuration says that the engine ignores fencing tokens', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b');
+  const resource = resourceOwnedInOrder('a', 'b');
   let arbitration = Arbitration.Fenced;
-  const a = createOwningDaemon(net, 'a', entries('a', 'b'), {
+  const a = createOwnerDaemon(net, 'a', entries('a', 'b'), {
     resource,
     resources: () => [{ name: resource, arbitration }],
   });
@@ -133,62 +141,62 @@
   t.is(a.ownership.authority(resource), Authority.Additive);
 });
 
-test('two daemons that take over from the same number claim different ones', async (t) => {
+test('two daemons that take over from the same fencing token claim different ones', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b');
-  const a = createOwningDaemon(net, 'a', entries('a'), { resource });
-  const b = createOwningDaemon(net, 'b', entries('b'), { resource });
+  const resource = resourceOwnedInOrder('a', 'b');
+  const a = createOwnerDaemon(net, 'a', entries('a'), { resource });
+  const b = createOwnerDaemon(net, 'b', entries('b'), { resource });
   await advanceAll(net, [a, b], 100, 50);
   for (const { ownership } of [a, b]) ownership.observeFencing(resource, 7);
   t.true(a.ownership.fencing(resource) > 7);
   t.not(a.ownership.fencing(resource), b.ownership.fencing(resource));
 });
 
-test('a new host that becomes the owner is handed the resource, once the last order has ended', async (t) => {
+test('a new host that becomes the owner gets the resource once the last order has ended', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('n', 'a', 'b', 'c');
+  const resource = resourceOwnedInOrder('n', 'a', 'b', 'c');
   const daemons = await startOwners(net, ['a', 'b', 'c'], { resource });
-  const [a] = daemons as [OwningDaemon];
-  t.deepEqual(fullOwners(daemons, resource), ['a']);
+  const [a] = daemons as [OwnerDaemon];
+  t.deepEqual(daemonsWithFullAuthority(daemons, resource), ['a']);
   const ended = a.ownership.orderBegan(resource);
   const all = entries('a', 'b', 'c', 'n');
-  const n = createOwningDaemon(net, 'n', all, { resource });
+  const n = createOwnerDaemon(net, 'n', all, { resource });
   const fleet = [...daemons, n];
   setLists(fleet, all);
   await advanceAll(net, fleet, 500, 50);
-  t.deepEqual(fullOwners(fleet, resource), []);
+  t.deepEqual(daemonsWithFullAuthority(fleet, resource), []);
   ended();
-  const full = await timeUntil(net, fleet, () => fullOwners(fleet, resource).length > 0);
-  t.true(full <= 2 * TIMES.tickMs, `${full}`);
-  t.deepEqual(fullOwners(fleet, resource), ['n']);
+  const full = await simulatedMsUntil(net, fleet, () => daemonsWithFullAuthority(fleet, resource).length > 0);
+  t.true(full <= 2 * TEST_TIMES.tickMs, `${full}`);
+  t.deepEqual(daemonsWithFullAuthority(fleet, resource), ['n']);
   t.true(n.ownership.fencing(resource) > a.ownership.fencing(resource) - 1);
 });
 
 test('a resource is released to one daemon only', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('n', 'm', 'a', 'b');
+  const resource = resourceOwnedInOrder('n', 'm', 'a', 'b');
   const daemons = await startOwners(net, ['a', 'b'], { resource });
   const ended = daemons[0]!.ownership.orderBegan(resource);
-  const n = createOwningDaemon(net, 'n', entries('a', 'b', 'n'), { resource });
-  const m = createOwningDaemon(net, 'm', entries('a', 'b', 'm'), { resource });
+  const n = createOwnerDaemon(net, 'n', entries('a', 'b', 'n'), { resource });
+  const m = createOwnerDaemon(net, 'm', entries('a', 'b', 'm'), { resource });
   const fleet = [...daemons, n, m];
   setLists(daemons, entries('a', 'b', 'n'));
   await advanceAll(net, fleet, 400, 50);
   ended();
   await advanceAll(net, fleet, 400, 50);
-  t.is(fullOwners(fleet, resource).length, 1);
-  await advanceAll(net, fleet, TIMES.leaseMs, 50);
-  t.is(fullOwners(fleet, resource).length, 1);
+  t.is(daemonsWithFullAuthority(fleet, resource).length, 1);
+  await advanceAll(net, fleet, TEST_TIMES.leaseMs, 50);
+  t.is(daemonsWithFullAuthority(fleet, resource).length, 1);
 });
 
-test('a graceful shutdown hands over within a heartbeat, before the list shows it', async (t) => {
+test('a graceful shutdown hands over within 100 ms, before the host list shows it', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const daemons = await startOwners(net, ['a', 'b', 'c', 'd'], { resource });
-  const [a, b] = daemons as [OwningDaemon, OwningDaemon];
+  const [a, b] = daemons as [OwnerDaemon, OwnerDaemon];
   const handedOver = a.ownership.handOver(new AbortController().signal);
   t.is(a.ownership.authority(resource), Authority.None);
-  const full = await timeUntil(net, daemons, () => b.ownership.authority(resource) === Authority.Full);
+  const full = await simulatedMsUntil(net, daemons, () => b.ownership.authority(resource) === Authority.Full);
   t.true(full <= 100, `${full}`);
   await advanceAll(net, daemons, 200, 50);
   await handedOver;
@@ -196,13 +204,13 @@
     daemons.map(({ ownership }) => ownership.ownerOf(resource)),
     ['b', 'b', 'b', 'b'],
   );
-  // The host restarts under its address before any list has shown it gone: it gets its resource back.
+  // The host restarts under its address before any list has shown it as gone, and gets its resource back.
   net.leave('a');
-  const next = createOwningDaemon(net, 'a', entries('a', 'b', 'c', 'd'), { resource, incarnation: 2 });
+  const next = createOwnerDaemon(net, 'a', entries('a', 'b', 'c', 'd'), { resource, incarnation: 2 });
   const fleet = [next, ...daemons.slice(1)];
   let most = 0;
-  const back = await timeUntil(net, fleet, () => {
-    most = Math.max(most, fullOwners(fleet, resource).length);
+  const back = await simulatedMsUntil(net, fleet, () => {
+    most = Math.max(most, daemonsWithFullAuthority(fleet, resource).length);
     return next.ownership.authority(resource) === Authority.Full;
   });
   t.true(back <= 600, `${back}`);
@@ -211,36 +219,36 @@
 
 for (const checksLeases of [true, false]) {
   const outcome = checksLeases ? 'one owner orders' : 'two owners order when leases are not checked';
-  test(`an owner that was paused across its lease wakes in the middle of an order: ${outcome}`, async (t) => {
+  test(`an owner that was paused past its lease resumes while sending an order: ${outcome}`, async (t) => {
     const net = createMemoryPeerNet();
-    const resource = resourceOf('a', 'b', 'c', 'd');
+    const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
     const daemons = await startOwners(net, ['a', 'b', 'c', 'd'], { resource, checksLeases });
-    const [a, ...others] = daemons as [OwningDaemon, ...OwningDaemon[]];
+    const [a, ...others] = daemons as [OwnerDaemon, ...OwnerDaemon[]];
     const removals: string[] = [];
-    const sendRemoval = ({ name, ownership }: OwningDaemon): void => {
+    const sendRemoval = ({ name, ownership }: OwnerDaemon): void => {
       if (ownership.authority(resource) === Authority.Full) removals.push(name);
     };
-    // The owner has decided on an order and waits for a connection when the pause begins.
+    // The pause begins after the owner has decided on an order and while it waits for a connection.
     net.cut('a', 'b');
     setLists(others, entries('b', 'c', 'd'));
-    await advanceAll(net, others, BOUND + SPAN, 50);
+    await advanceAll(net, others, TAKE_OVER_BOUND_MS + DETECTION_MS, 50);
     others.forEach(sendRemoval);
-    a.timers.pause(BOUND + SPAN);
+    a.timers.pause(TAKE_OVER_BOUND_MS + DETECTION_MS);
     sendRemoval(a);
     t.deepEqual(removals, checksLeases ? ['b'] : ['b', 'a']);
   });
 }
 
-test('while the list is stale for all, the owner that was goes on with orders that remove nothing', async (t) => {
+test('while the host list is stale for all, the owner may still send additive orders', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd', 'e', 'f', 'g');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd', 'e', 'f', 'g');
   const daemons = await startOwners(net, NAMES, { resource });
-  const [a] = daemons as [OwningDaemon];
+  const [a] = daemons as [OwnerDaemon];
   for (const { list } of daemons) list.isDown = true;
   await advanceAll(net, daemons, 20_000, 50);
   t.is(a.ownership.authority(resource), Authority.Additive);
   t.true(a.ownership.mayGrant(resource));
-  // Two of seven are gone: five still confirm. With three gone, nobody can tell.
+  // Without two of seven, five still confirm the view, which is enough. Without three it is unconfirmed.
   net.leave('f');
   net.leave('g');
   await advanceAll(net, daemons.slice(0, 5), 1_000, 50);
@@ -259,15 +267,15 @@
   t.is(
     a.ownership.authority(resource),
     Authority.Additive,
-    'after a time for which nothing is known, it waits',
+    'after an unconfirmed stale period it waits again',
   );
 });
 
-test('a partition: the majority goes on without the list, the minority does not take over', async (t) => {
+test('partition: the majority continues without the list, the minority does not take over', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'e', 'b', 'c', 'd', 'f', 'g');
+  const resource = resourceOwnedInOrder('a', 'e', 'b', 'c', 'd', 'f', 'g');
   const daemons = await startOwners(net, NAMES, { resource });
-  const [a] = daemons as [OwningDaemon];
+  const [a] = daemons as [OwnerDaemon];
   const majority = ['a', 'b', 'c', 'd', 'f'];
   const minority = ['e', 'g'];
   for (const left of majority) {
@@ -281,7 +289,7 @@
     else list.hosts = entries('b', 'c', 'd', 'e', 'f', 'g');
   }
   const e = daemons.find(({ name }) => name === 'e')!;
-  for (let passed = 0; passed < 2 * BOUND; passed += 100) {
+  for (let passed = 0; passed < 2 * TAKE_OVER_BOUND_MS; passed += 100) {
     await advanceAll(net, daemons, 100, 50);
     t.false(a.ownership.mayGrant(resource) && e.ownership.mayGrant(resource));
   }
@@ -289,61 +297,61 @@
   t.is(e.ownership.authority(resource), Authority.Additive);
   net.mend();
   await advanceAll(net, daemons, 1_000, 50);
-  t.is(a.ownership.authority(resource), Authority.None, 'a peer that could read the list tells the others');
+  t.is(a.ownership.authority(resource), Authority.None, 'a peer that could read the list passes it on');
   await advanceAll(net, daemons, 1_000, 50);
-  t.deepEqual(fullOwners(daemons, resource), ['e']);
+  t.deepEqual(daemonsWithFullAuthority(daemons, resource), ['e']);
 });
 
-test('a list that is stale for the old owner and newest for the next gives no two owners', async (t) => {
+test('a host list that is stale for the old owner and fresh for the next leaves one owner', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const daemons = await startOwners(net, ['a', 'b', 'c', 'd'], { resource });
-  const [a, b] = daemons as [OwningDaemon, OwningDaemon];
-  // The owner can be reached by nobody and reads a list that lags as far as it may.
+  const [a, b] = daemons as [OwnerDaemon, OwnerDaemon];
+  // The owner is unreachable and reads a list with the greatest allowed lag.
   for (const other of ['b', 'c', 'd']) {
     net.cut('a', other);
     net.cut(other, 'a');
   }
   setLists(daemons.slice(1), [entry('a', HostState.Leaving), ...entries('b', 'c', 'd')]);
   let most = 0;
-  for (let passed = 0; passed < 2 * BOUND; passed += 50) {
+  for (let passed = 0; passed < 2 * TAKE_OVER_BOUND_MS; passed += 50) {
     if (passed === 600) a.list.isDown = true;
     await advanceAll(net, daemons, 50, 50);
-    most = Math.max(most, fullOwners(daemons, resource).length);
+    most = Math.max(most, daemonsWithFullAuthority(daemons, resource).length);
   }
   t.is(most, 1);
-  t.deepEqual(fullOwners(daemons, resource), ['b']);
+  t.deepEqual(daemonsWithFullAuthority(daemons, resource), ['b']);
   t.is(b.ownership.authority(resource), Authority.Full);
 });
 
-test('two list changes in quick order leave one owner', async (t) => {
+test('two host list changes in quick succession leave one owner', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const daemons = await startOwners(net, ['a', 'b', 'c', 'd'], { resource });
   for (const left of ['a', 'b']) for (const right of ['c', 'd']) net.cut(left, right);
   setLists(daemons.slice(1), entries('b', 'c', 'd'));
   await advanceAll(net, daemons, 300, 50);
   setLists(daemons.slice(2), entries('c', 'd'));
   let most = 0;
-  for (let passed = 0; passed < 2 * BOUND; passed += 50) {
+  for (let passed = 0; passed < 2 * TAKE_OVER_BOUND_MS; passed += 50) {
     if (passed === 300) setLists(daemons.slice(0, 2), entries('c', 'd'));
     await advanceAll(net, daemons, 50, 50);
-    most = Math.max(most, fullOwners(daemons, resource).length);
+    most = Math.max(most, daemonsWithFullAuthority(daemons, resource).length);
   }
   t.is(most, 1);
-  t.deepEqual(fullOwners(daemons, resource), ['c']);
+  t.deepEqual(daemonsWithFullAuthority(daemons, resource), ['c']);
 });
 
-test('an exclusive resource has no authority while the last owner may act', async (t) => {
+test('the next owner of an exclusive resource only waits while the previous one may act', async (t) => {
   const net = createMemoryPeerNet();
-  const resource = resourceOf('a', 'b', 'c', 'd');
+  const resource = resourceOwnedInOrder('a', 'b', 'c', 'd');
   const options = { resource, arbitration: Arbitration.Exclusive };
   const [, ...others] = await startOwners(net, ['a', 'b', 'c', 'd'], options);
-  const [b] = others as [OwningDaemon];
+  const [b] = others as [OwnerDaemon];
   net.leave('a');
   setLists(others, entries('b', 'c', 'd'));
   await advanceAll(net, others, 500, 50);
   t.is(b.ownership.authority(resource), Authority.Waiting);
-  await advanceAll(net, others, BOUND, 50);
+  await advanceAll(net, others, TAKE_OVER_BOUND_MS, 50);
   t.is(b.ownership.authority(resource), Authority.Full);
 });
--- a/packages/fleet/test/support/owners.ts
+++ b/packages/fleet/test/support/owners.ts
@@ -1,4 +1,4 @@
-/** Daemons with membership and ownership, for the tests of take-overs. */
+/** Daemons with membership and ownership, for tests of take-overs. */
 import { createSilentLog } from '@celeryyoke/core';
 import type { HostEntry } from '@celeryyoke/platform';
 
@@ -7,8 +7,8 @@
 import type { TestDaemon } from './lists.js';
 import { advanceAll, createTestDaemon, entries } from './lists.js';
 
-/** Short times, so that schedules stay short. */
-export const TIMES: OwnershipTimes = {
+/** Short times, so that schedules in simulated time stay short. */
+export const TEST_TIMES: OwnershipTimes = {
   leaseMs: 1_000,
   hostListLagMs: 600,
   removalMs: 800,
@@ -31,27 +31,26 @@
 };
 
 /** A daemon with ownership. */
-export interface OwningDaemon extends TestDaemon {
+export interface OwnerDaemon extends TestDaemon {
   readonly ownership: ManagedOwnership;
 }
 
-/** Options of a daemon with ownership. */
-export interface OwningOptions {
+export interface OwnerDaemonOptions {
   readonly resource: string;
   readonly arbitration?: Arbitration;
   readonly checksLeases?: boolean;
   readonly incarnation?: number;
-  /** Replaces the one resource. */
+  /** Replaces the single resource that is made from `resource` and `arbitration`. */
   readonly resources?: () => readonly OwnedResource[];
 }
 
-/** Makes a daemon with ownership of one resource. */
-export function createOwningDaemon(
+/** Creates a daemon and starts its ownership. */
+export function createOwnerDaemon(
   net: MemoryPeerNet,
   name: string,
   hosts: readonly HostEntry[],
-  options: OwningOptions,
-): OwningDaemon {
+  options: OwnerDaemonOptions,
+): OwnerDaemon {
   const { resource, arbitration = Arbitration.Unfenced, checksLeases = true, incarnation } = options;
   const daemon = createTestDaemon(net, name, hosts, MEMBERSHIP, incarnation);
   const resources = [{ name: resource, arbitration }];
@@ -64,15 +63,15 @@
     log,
     audit,
     resources: options.resources ?? (() => resources),
-    times: TIMES,
+    times: TEST_TIMES,
     checksLeases,
   });
   ownership.start();
   return { ...daemon, ownership };
 }
 
-/** Finds a resource whose owners come in the order given. */
-export function resourceOf(...order: readonly string[]): string {
+/** Finds a resource whose owner is the first of these hosts, then the next one as each is removed. */
+export function resourceOwnedInOrder(...order: readonly string[]): string {
   for (let index = 0; ; index += 1) {
     const resource = `engine-${index}`;
     const left = [...order];
@@ -81,21 +80,21 @@
   }
 }
 
-/** Starts daemons and lets them settle, so that the first one has full authority. */
+/** Starts daemons and advances time until the owner has full authority. */
 export async function startOwners(
   net: MemoryPeerNet,
   names: readonly string[],
-  options: OwningOptions,
-): Promise<OwningDaemon[]> {
-  const daemons = names.map((name) => createOwningDaemon(net, name, entries(...names), options));
+  options: OwnerDaemonOptions,
+): Promise<OwnerDaemon[]> {
+  const daemons = names.map((name) => createOwnerDaemon(net, name, entries(...names), options));
   await advanceAll(net, daemons, 5_000, 50);
   return daemons;
 }
 
-/** Measures the time until a daemon has an authority. */
-export async function timeUntil(
+/** Advances time until a condition holds. Returns the simulated milliseconds, or Infinity after 30 s. */
+export async function simulatedMsUntil(
   net: MemoryPeerNet,
-  daemons: readonly OwningDaemon[],
+  daemons: readonly OwnerDaemon[],
   isTrue: () => boolean,
 ): Promise<number> {
   for (let passed = 0; passed < 30_000; passed += 10) {
@@ -105,8 +104,10 @@
   return Infinity;
 }
 
-/** Names of the daemons that have full authority. */
-export function fullOwners(daemons: readonly OwningDaemon[], resource: string): readonly string[] {
+export function daemonsWithFullAuthority(
+  daemons: readonly OwnerDaemon[],
+  resource: string,
+): readonly string[] {
   return daemons
     .filter(({ ownership }) => ownership.authority(resource) === Authority.Full)
     .map(({ name }) => name);
--- a/packages/fleet/test/support/simulated-fleet.ts
+++ b/packages/fleet/test/support/simulated-fleet.ts
@@ -1,25 +1,33 @@
-/** A world of daemons, one resource and an engine that obeys every order, driven by a schedule of failures. */
+/**
+ * Simulation of daemons that own one resource, under a schedule of failures; the engine executes every order.
+ */
 import type { HostListView } from '@celeryyoke/platform';
 
 import type { MemoryPeerNet } from '../../src/index.js';
 import { Authority, createMemoryPeerNet } from '../../src/index.js';
 import { entries } from './lists.js';
-import type { OwningDaemon, OwningOptions } from './owners.js';
-import { createOwningDaemon, TIMES } from './owners.js';
+import type { OwnerDaemon, OwnerDaemonOptions } from './owners.js';
+import { createOwnerDaemon, TEST_TIMES } from './owners.js';
 
 const STEP_MS = 50;
 
-/** What a schedule can do. */
+/** Kinds of failures in a schedule. */
 export enum FailureKind {
+  /** The host list no longer names the daemon. */
   Drop = 'drop',
+  /** The process crashes and starts again. */
   Restart = 'restart',
+  /** The process hands over, ends, and starts again. */
   Leave = 'leave',
+  /** The process is suspended. */
   Pause = 'pause',
+  /** The daemon can't read the host list. */
   Blind = 'blind',
+  /** The daemon is cut off from all peers. */
   Isolate = 'isolate',
 }
 
-/** One failure: it begins at a time, concerns one daemon and lasts for a time. */
+/** One failure of one daemon; `daemon` is its index, `atMs` counts from the start of the run. */
 export interface Failure {
   readonly kind: FailureKind;
   readonly daemon: number;
@@ -27,32 +35,32 @@
   readonly forMs: number;
 }
 
-/** An order under way: its sender can't take it back, and it is carried out when its time is up. */
+/** An order in flight: it can't be cancelled, and the engine executes it at `completesAtMs`. */
 interface Order {
   readonly sender: string;
-  readonly doneAt: number;
-  readonly ended: () => void;
+  readonly completesAtMs: number;
+  readonly markEnded: () => void;
 }
 
 interface ListState {
-  readonly at: number;
+  readonly changedAtMs: number;
   readonly names: readonly string[];
 }
 
-/** The world. */
-export class World {
+/** Runs daemons on simulated time and records the moments at which two of them have removals in flight. */
+export class SimulatedFleet {
   readonly net: MemoryPeerNet = createMemoryPeerNet();
 
-  /** Moments at which two daemons could remove something, told in words. */
+  /** Descriptions of the moments at which two daemons had removals in flight. */
   readonly violations: string[] = [];
 
-  now = 0;
+  nowMs = 0;
 
-  private readonly daemons = new Map<string, OwningDaemon>();
+  private readonly daemons = new Map<string, OwnerDaemon>();
 
   private readonly pausedAt = new Map<string, number>();
 
-  private readonly blind = new Set<string>();
+  private readonly withoutHostList = new Set<string>();
 
   private readonly history: ListState[] = [];
 
@@ -60,31 +68,30 @@
 
   private incarnations = 1;
 
-  private draws = 0;
+  private listReads = 0;
 
   constructor(
     readonly names: readonly string[],
-    private readonly options: OwningOptions,
+    private readonly options: OwnerDaemonOptions,
   ) {
     this.setList(names);
     for (const name of names) this.startDaemon(name);
   }
 
-  /** Names on the true list. */
-  get listed(): readonly string[] {
+  /** Names on the current host list, without lag. */
+  get listedNames(): readonly string[] {
     return this.history.at(-1)!.names;
   }
 
-  /** Daemons that hold full authority now. */
-  full(): readonly string[] {
+  daemonsWithFullAuthority(): readonly string[] {
     return this.running().filter((name) => this.authority(name) === Authority.Full);
   }
 
-  /** Moves on, with the given failures under way. */
+  /** Advances time, applying the failures of the schedule. */
   async run(ms: number, failures: readonly Failure[] = []): Promise<void> {
-    const start = this.now;
+    const start = this.nowMs;
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      for (const failure of failures) await this.apply(failure, this.now - start);
+      for (const failure of failures) await this.apply(failure, this.nowMs - start);
       await this.step();
     }
   }
@@ -92,8 +99,8 @@
   /** Ends all failures. */
   heal(): void {
     this.net.mend();
-    this.blind.clear();
-    for (const name of this.pausedAt.keys()) this.wake(name);
+    this.withoutHostList.clear();
+    for (const name of this.pausedAt.keys()) this.resume(name);
     for (const name of this.names) if (!this.daemons.has(name)) this.startDaemon(name);
     this.setList(this.names);
   }
@@ -102,36 +109,36 @@
     const name = this.names[daemon % this.names.length]!;
     const begins = passed === atMs;
     const ends = passed === atMs + forMs;
-    if (begins) this.begin[kind](name);
-    if (ends) this.end[kind](name);
+    if (begins) this.startFailure[kind](name);
+    if (ends) this.endFailure[kind](name);
   }
 
-  private readonly begin: Record<FailureKind, (name: string) => void> = {
-    [FailureKind.Drop]: (name) => this.setList(this.listed.filter((other) => other !== name)),
+  private readonly startFailure: Record<FailureKind, (name: string) => void> = {
+    [FailureKind.Drop]: (name) => this.setList(this.listedNames.filter((other) => other !== name)),
     [FailureKind.Restart]: (name) => this.crash(name),
     [FailureKind.Leave]: (name) => {
       const daemon = this.daemons.get(name);
       if (!this.pausedAt.has(name)) void daemon?.ownership.handOver(new AbortController().signal);
     },
     [FailureKind.Pause]: (name) => {
-      if (this.daemons.has(name)) this.pausedAt.set(name, this.now);
+      if (this.daemons.has(name)) this.pausedAt.set(name, this.nowMs);
     },
-    [FailureKind.Blind]: (name) => this.blind.add(name),
+    [FailureKind.Blind]: (name) => this.withoutHostList.add(name),
     [FailureKind.Isolate]: (name) => {
       for (const other of this.names) this.net.cut(name, other);
       for (const other of this.names) this.net.cut(other, name);
     },
   };
 
-  private readonly end: Record<FailureKind, (name: string) => void> = {
-    [FailureKind.Drop]: (name) => this.setList([...new Set([...this.listed, name])].sort()),
+  private readonly endFailure: Record<FailureKind, (name: string) => void> = {
+    [FailureKind.Drop]: (name) => this.setList([...new Set([...this.listedNames, name])].sort()),
     [FailureKind.Restart]: (name) => this.startDaemon(name),
     [FailureKind.Leave]: (name) => {
       this.crash(name);
       this.startDaemon(name);
     },
-    [FailureKind.Pause]: (name) => this.wake(name),
-    [FailureKind.Blind]: (name) => this.blind.delete(name),
+    [FailureKind.Pause]: (name) => this.resume(name),
+    [FailureKind.Blind]: (name) => this.withoutHostList.delete(name),
     [FailureKind.Isolate]: (name) => {
       for (const other of this.names) this.net.mend(name, other);
       for (const other of this.names) this.net.mend(other, name);
@@ -139,18 +146,18 @@
   };
 
   private setList(names: readonly string[]): void {
-    this.history.push({ at: this.now, names });
+    this.history.push({ changedAtMs: this.nowMs, names });
   }
 
   private startDaemon(name: string): void {
     if (this.daemons.has(name)) return;
     const incarnation = this.incarnations;
     this.incarnations += 1;
-    const daemon = createOwningDaemon(this.net, name, entries(...this.listed), {
+    const daemon = createOwnerDaemon(this.net, name, entries(...this.listedNames), {
       ...this.options,
       incarnation,
     });
-    daemon.list.read = () => this.read(name, daemon);
+    daemon.list.read = () => this.readList(name, daemon);
     this.daemons.set(name, daemon);
   }
 
@@ -160,21 +167,21 @@
     this.net.leave(name);
   }
 
-  private wake(name: string): void {
+  private resume(name: string): void {
     const since = this.pausedAt.get(name);
     this.pausedAt.delete(name);
     if (since === undefined) return;
-    this.daemons.get(name)?.timers.pause(this.now - since);
-    // The process goes on in the middle of what it did, before any timer fires.
-    this.order(name);
+    this.daemons.get(name)?.timers.pause(this.nowMs - since);
+    // A resumed process continues where it was suspended, before any timer fires.
+    this.sendRemovalOrder(name);
   }
 
-  /** Reads the list as it was at some moment within the bound on its lag. */
-  private async read(name: string, { timers }: OwningDaemon): Promise<HostListView> {
-    if (this.blind.has(name)) throw new Error('the host list is down');
-    this.draws += 1;
-    const lag = (this.draws * 0.618_033_988_75 * TIMES.hostListLagMs) % TIMES.hostListLagMs;
-    const seen = this.history.findLast(({ at }) => at <= this.now - lag) ?? this.history[0]!;
+  /** Reads the list with a lag that varies between reads, within its bound. */
+  private async readList(name: string, { timers }: OwnerDaemon): Promise<HostListView> {
+    if (this.withoutHostList.has(name)) throw new Error('the host list is down');
+    this.listReads += 1;
+    const lag = (this.listReads * 0.618_033_988_75 * TEST_TIMES.hostListLagMs) % TEST_TIMES.hostListLagMs;
+    const seen = this.history.findLast(({ changedAtMs: at }) => at <= this.nowMs - lag) ?? this.history[0]!;
     return { hosts: entries(...seen.names), readAt: timers.now() };
   }
 
@@ -187,16 +194,16 @@
   }
 
   private async step(): Promise<void> {
-    this.beat();
+    this.exchangeHeartbeats();
     for (const name of this.running()) await this.daemons.get(name)!.timers.advance(STEP_MS);
-    this.now += STEP_MS;
-    this.carryOut();
-    for (const name of this.running()) this.order(name);
-    this.check();
+    this.nowMs += STEP_MS;
+    this.completeOrders();
+    for (const name of this.running()) this.sendRemovalOrder(name);
+    this.recordViolations();
   }
 
   /** A paused daemon neither sends nor acknowledges heartbeats. */
-  private beat(): void {
+  private exchangeHeartbeats(): void {
     const cuts: (readonly [string, string])[] = [];
     for (const paused of this.pausedAt.keys()) {
       for (const other of this.names) cuts.push([paused, other], [other, paused]);
@@ -204,23 +211,25 @@
     this.net.beat((from, to) => !cuts.some(([left, right]) => left === from && right === to));
   }
 
-  /** Under full authority a daemon removes something whenever it can; the order takes as long as it may. */
-  private order(name: string): void {
+  /**
+   * A daemon with full authority and no order in flight sends a removal that takes the longest allowed time.
+   */
+  private sendRemovalOrder(name: string): void {
     if (this.authority(name) !== Authority.Full) return;
     const daemon = this.daemons.get(name)!;
     const sender = `${name}#${daemon.bus.self.incarnation}`;
     if (this.orders.some((order) => order.sender === sender)) return;
     const ended = daemon.ownership.orderBegan(this.options.resource);
-    this.orders.push({ sender, doneAt: this.now + TIMES.removalMs, ended });
+    this.orders.push({ sender, completesAtMs: this.nowMs + TEST_TIMES.removalMs, markEnded: ended });
   }
 
-  private carryOut(): void {
-    for (const order of this.orders) if (order.doneAt <= this.now) order.ended();
-    this.orders = this.orders.filter(({ doneAt }) => doneAt > this.now);
+  private completeOrders(): void {
+    for (const order of this.orders) if (order.completesAtMs <= this.nowMs) order.markEnded();
+    this.orders = this.orders.filter(({ completesAtMs: doneAt }) => doneAt > this.nowMs);
   }
 
-  private check(): void {
+  private recordViolations(): void {
     const senders = new Set(this.orders.map(({ sender }) => sender));
-    if (senders.size > 1) this.violations.push(`${this.now}: orders of ${[...senders].join(' and ')}`);
+    if (senders.size > 1) this.violations.push(`${this.nowMs}: orders of ${[...senders].join(' and ')}`);
   }
 }
