--- a/packages/fleet/src/core/custody/bucket.ts
+++ b/packages/fleet/src/core/custody/bucket.ts
@@ -1,5 +1,5 @@
 /** What one daemon holds, has handed over or has promised of one bucket. */
-import { isSameKeeper } from './keepers.js';
+import { isSameKeeper } from './daemon-tracker.js';
 import type { CustodyTerm, KeeperRef } from './types.js';
 
 /** A hand-over that is decided and can't be taken back. */
--- a/packages/fleet/src/core/custody/computed.ts
+++ b/packages/fleet/src/core/custody/computed.ts
@@ -2,7 +2,7 @@
 import { hash32 } from '@celeryyoke/core';
 import { HostRole } from '@celeryyoke/platform';
 
-import { pairOf } from './rank.js';
+import { pairOf } from './rendezvous.js';
 import type { Custody, CustodyOptions, CustodyTerm } from './types.js';
 
 const DEFAULT_BUCKETS = 256;
--- a/packages/fleet/src/core/custody/context.ts
+++ b/packages/fleet/src/core/custody/context.ts
@@ -1,7 +1,7 @@
 /** What the parts of custody share. */
 import type { PeerProcedure } from '../peers/index.js';
 import type { BucketState } from './bucket.js';
-import type { Keepers } from './keepers.js';
+import type { Keepers } from './daemon-tracker.js';
 import type { CustodyCargo, CustodyOptions } from './types.js';
 
 /** What the parts of custody share. */
--- a/packages/fleet/src/core/custody/keepers.ts
+++ b/packages/fleet/src/core/custody/daemon-tracker.ts
@@ -2,8 +2,8 @@
 import type { HostEntry } from '@celeryyoke/platform';
 import { HostRole } from '@celeryyoke/platform';
 
-import type { Candidate } from './rank.js';
-import { chooseKeepers, DEFAULT_KEEPERS } from './rank.js';
+import type { Candidate } from './rendezvous.js';
+import { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
 import type { CustodyOptions, KeeperRef } from './types.js';
 
 const DEFAULT_ABSENT_AFTER_MS = 15_000;
--- a/packages/fleet/src/core/custody/handover.ts
+++ b/packages/fleet/src/core/custody/handover.ts
@@ -6,9 +6,9 @@
 
 import type { BucketState, Handover } from './bucket.js';
 import { isMember, isSameTerm, membersOf } from './bucket.js';
-import { isSameKeeper } from './keepers.js';
+import { isSameKeeper } from './daemon-tracker.js';
 import type { CustodyContext } from './context.js';
-import { pairOf } from './rank.js';
+import { pairOf } from './rendezvous.js';
 import type { CustodyTerm, KeeperRef } from './types.js';
 import type { CedeMessage, TakeMessage } from './wire.js';
 import { CEDE, HAS, TAKE } from './wire.js';
--- a/packages/fleet/src/core/custody/locate.ts
+++ b/packages/fleet/src/core/custody/home-map.ts
@@ -2,7 +2,7 @@
 import { HostRole } from '@celeryyoke/platform';
 
 import type { Membership } from '../membership/index.js';
-import { chooseKeepers, pairOf } from './rank.js';
+import { chooseKeepers, pairOf } from './rendezvous.js';
 
 const BITS = 8;
 
--- a/packages/fleet/src/core/custody/index.ts
+++ b/packages/fleet/src/core/custody/index.ts
@@ -1,8 +1,8 @@
 /** Custody of buckets of records. */
-export { createCustody } from './agreed.js';
+export { createCustody } from './custody.js';
 export { isSameTerm } from './bucket.js';
 export { createComputedCustody } from './computed.js';
-export { chooseKeepers, DEFAULT_KEEPERS } from './rank.js';
+export { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
 export type {
   Custody,
   CustodyCargo,
--- a/packages/fleet/test/custody.test.ts
+++ b/packages/fleet/test/custody.test.ts
@@ -8,8 +8,8 @@
 import { createComputedCustody, createCustody, createKeyLedger, KeyOutcome } from '../src/index.js';
 import type { ManualMembership } from './support/fleet.js';
 import { createManualMembership, domainOf } from './support/fleet.js';
-import type { RoughNode } from './support/rough-net.js';
-import { RoughNet } from './support/rough-net.js';
+import type { RoughNode } from './support/lossy-net.js';
+import { RoughNet } from './support/lossy-net.js';
 
 const NAMES = ['d1', 'd2', 'd3', 'd4', 'd5'];
 const BUCKETS = 2;
