--- a/packages/fleet/src/core/custody/bucket.ts
+++ b/packages/fleet/src/core/custody/bucket.ts
@@ -1,49 +1,45 @@
-/** What one daemon holds, has handed over or has promised of one bucket. */
-import { isSameKeeper } from './daemon-tracker.js';
-import type { CustodyTerm, KeeperRef } from './types.js';
+/** State of a bucket on one daemon: the term it holds, a handover in progress, and promises to claimants. */
+import { isSameDaemon } from './daemon-tracker.js';
+import type { CustodyTerm, DaemonRef } from './types.js';
 
-/** A hand-over that is decided and can't be taken back. */
+/** A handover that has been decided and can't be revoked. */
 export interface Handover {
-  /** The term that ends. */
+  /** The term that ends; undefined if this daemon only makes sure that its partner has the next one. */
   readonly from: CustodyTerm | undefined;
   readonly next: CustodyTerm;
-  /** Whether the other member of the old pair is bound by the decision, or gone. */
+  /** Whether the other member of the old pair has accepted the decision or is gone. */
   isFenced: boolean;
-  /** Whether this daemon only stands in for the old home, should that be gone. */
-  readonly isDeputy: boolean;
-  /** Members of the next pair that do not have the bucket yet. */
-  readonly pending: Map<string, KeeperRef>;
+  /** Whether this daemon is the old backup and completes the handover only if the old home is gone. */
+  readonly isStandby: boolean;
+  /** Members of the next pair that have not received the bucket yet. */
+  readonly pending: Map<string, DaemonRef>;
 }
 
-/** A promise to a claimant. */
+/** A promise to let no other daemon claim the bucket. */
 export interface BucketPromise {
-  readonly claimant: KeeperRef;
+  readonly claimant: DaemonRef;
   readonly nonce: number;
 }
 
-/** Parts of a hand-over that have come in. */
+/** Parts of a transfer received so far. */
 export interface Incoming {
   readonly next: CustodyTerm;
   readonly transfer: string;
   readonly parts: Set<number>;
 }
 
-/** State of one bucket. */
 export interface BucketState {
-  /** Greatest epoch that this daemon has held or handed over. */
+  /** Greatest epoch of a term that this daemon has held or handed over. */
   epoch: number;
   term: CustodyTerm | undefined;
   handover: Handover | undefined;
-  /** The term that this daemon handed over to last, while it holds none. */
+  /** The last term that this daemon handed over to, while it holds none. */
   passedTo: CustodyTerm | undefined;
   promise: BucketPromise | undefined;
   incoming: Incoming | undefined;
 }
 
-/**
- * Makes the state of a bucket of which nothing is known.
- * @returns The state.
- */
+/** Creates the state of a bucket of which nothing is known. */
 export function createBucketState(): BucketState {
   return {
     epoch: 0,
@@ -55,49 +51,33 @@
   };
 }
 
-/**
- * Compares two terms.
- * @param left - One of them.
- * @param right - The other.
- * @returns Whether they are the same stretch of custody by the same pair.
- */
+/** Whether two terms have the same bucket, epoch and pair; false if one is undefined. */
 export function isSameTerm(left: CustodyTerm | undefined, right: CustodyTerm | undefined): boolean {
   return (
     left !== undefined &&
     right !== undefined &&
     left.bucket === right.bucket &&
     left.epoch === right.epoch &&
-    isSameKeeper(left.home, right.home) &&
-    isSameKeeper(left.backup, right.backup)
+    isSameDaemon(left.home, right.home) &&
+    isSameDaemon(left.backup, right.backup)
   );
 }
 
-/**
- * Tells whether a daemon belongs to a term's pair.
- * @param term - The term.
- * @param ref - The daemon.
- * @returns Whether it is the home or the backup.
- */
-export function isMember(term: CustodyTerm, ref: KeeperRef): boolean {
-  return isSameKeeper(term.home, ref) || isSameKeeper(term.backup, ref);
+/** Whether a daemon is the home or the backup of a term. */
+export function isMember(term: CustodyTerm, ref: DaemonRef): boolean {
+  return isSameDaemon(term.home, ref) || isSameDaemon(term.backup, ref);
 }
 
-/**
- * Lists the members of a term's pair by name.
- * @param term - The term.
- * @returns Home and backup.
- */
-export function membersOf(term: CustodyTerm): Map<string, KeeperRef> {
+/** Returns the home and the backup of a term by name. */
+export function membersOf(term: CustodyTerm): Map<string, DaemonRef> {
   return new Map([term.home, term.backup].map((ref) => [ref.name, ref]));
 }
 
 /**
- * Finds the term that this daemon answers for. A deputy that is bound to a decision answers for none: the old home
- * or the next pair does, and a claimant is told of that pair.
- * @param state - State of the bucket.
- * @returns The term that is held or being handed over, if any.
+ * Returns the term that this daemon reports against a claim: the one it holds or hands over to. A standby
+ * reports none, since the old home or the next pair does; its promise names that pair instead.
  */
 export function standingTerm({ term, handover }: BucketState): CustodyTerm | undefined {
   if (handover === undefined) return term;
-  return handover.isDeputy ? undefined : handover.next;
+  return handover.isStandby ? undefined : handover.next;
 }
--- a/packages/fleet/src/core/custody/computed.ts
+++ b/packages/fleet/src/core/custody/computed.ts
@@ -1,4 +1,4 @@
-/** Pairs computed from this daemon's own host list alone: the naive way, without agreement between daemons. */
+/** Custody computed from this daemon's own host list alone, without agreement between daemons. */
 import { hash32 } from '@celeryyoke/core';
 import { HostRole } from '@celeryyoke/platform';
 
@@ -8,10 +8,8 @@
 const DEFAULT_BUCKETS = 256;
 
 /**
- * Makes custody that follows the host list at once, against which the agreed one is tested: two daemons with
- * different lists can both act.
- * @param options - Bus, membership and time.
- * @returns The custody.
+ * Creates custody that follows the host list at once. Tests use it as the unsafe counterpart of
+ * `createCustody`: two daemons with different lists can both act.
  */
 export function createComputedCustody(options: CustodyOptions): Custody {
   const { bus, membership, timers, buckets = DEFAULT_BUCKETS } = options;
--- a/packages/fleet/src/core/custody/custody.ts
+++ b/packages/fleet/src/core/custody/custody.ts
@@ -1,16 +1,16 @@
-/** Custody that daemons agree on by hand-over, one task for each daemon. */
+/** Custody that moves between daemons only by explicit handover; one periodic task per daemon. */
 import type { Task } from '@celeryyoke/core';
 import { hash32, runTask, toCeleryyokeError } from '@celeryyoke/core';
 
 import type { PeerProcedure } from '../peers/index.js';
 import type { BucketState } from './bucket.js';
 import { createBucketState, isSameTerm, standingTerm } from './bucket.js';
-import { ClaimDesk } from './claims.js';
+import { ClaimCoordinator } from './claims.js';
 import type { CustodyContext } from './context.js';
-import { HandoverDesk } from './handover.js';
-import { isSameKeeper, Keepers } from './daemon-tracker.js';
+import { HandoverCoordinator } from './handover.js';
+import { isSameDaemon, DaemonTracker } from './daemon-tracker.js';
 import { HomeMap } from './home-map.js';
-import type { KeeperCandidate } from './daemon-tracker.js';
+import type { CustodianCandidate } from './daemon-tracker.js';
 import { DEFAULT_KEEPERS, pairOf } from './rendezvous.js';
 import type { Custody, CustodyCargo, CustodyOptions, CustodyStatus, CustodyTerm } from './types.js';
 import type { CustodySection } from './wire.js';
@@ -26,49 +26,57 @@
   drop: () => undefined,
 };
 
-/** Custody of one daemon. */
-class AgreedCustody implements Custody, CustodyContext {
+/**
+ * Custody of one daemon: each round works on handovers that are due and claims buckets that no daemon holds.
+ */
+class HandoverCustody implements Custody, CustodyContext {
   readonly buckets: number;
 
-  readonly keepers: Keepers;
+  readonly daemons: DaemonTracker;
 
   private readonly states: readonly BucketState[];
 
   private readonly homes: HomeMap;
 
-  private readonly desk: HandoverDesk;
+  private readonly handovers: HandoverCoordinator;
 
-  private readonly claims: ClaimDesk;
+  private readonly claims: ClaimCoordinator;
 
   private readonly task: Task<void>;
 
-  private cargoCarried = NO_CARGO;
+  private currentCargo = NO_CARGO;
 
-  private leaving = false;
+  private shuttingDown = false;
 
   constructor(readonly options: CustodyOptions) {
     const { bus } = options;
     this.buckets = options.buckets ?? DEFAULT_BUCKETS;
     this.states = Array.from({ length: this.buckets }, createBucketState);
-    this.keepers = new Keepers(options, (cause) => this.forgetAll(cause));
-    this.homes = new HomeMap(this.buckets, options.membership, options.keepers ?? DEFAULT_KEEPERS);
-    this.desk = new HandoverDesk(this);
-    this.claims = new ClaimDesk(this);
-    bus.handle(CEDE, async (message) => this.isKnown(message.term) && this.desk.cede(message));
-    bus.handle(TAKE, async (message) => this.isKnown(message.next) && this.desk.take(message));
-    bus.handle(HAS, async (term) => this.isKnown(term) && this.desk.has(term));
-    bus.handle(CLAIM, async (message) => this.claims.answer(message));
+    this.daemons = new DaemonTracker(options, (cause) => this.dropAll(cause));
+    this.homes = new HomeMap(this.buckets, options.membership, options.maxCustodians ?? DEFAULT_KEEPERS);
+    this.handovers = new HandoverCoordinator(this);
+    this.claims = new ClaimCoordinator(this);
+    bus.handle(
+      CEDE,
+      async (message) => this.isValidBucket(message.term) && this.handovers.handleCede(message),
+    );
+    bus.handle(
+      TAKE,
+      async (message) => this.isValidBucket(message.next) && this.handovers.handleTake(message),
+    );
+    bus.handle(HAS, async (term) => this.isValidBucket(term) && this.handovers.hasTerm(term));
+    bus.handle(CLAIM, async (message) => this.claims.handleClaim(message));
     bus.handle(CHECK, async (message) => this.claims.isClaiming(message));
     bus.handle(BYE, async ({ generation }, from) => {
-      this.keepers.heardRetired(from.name, generation);
+      this.daemons.recordStopped(from.name, generation);
       return true;
     });
     bus.contribute({
       name: 'custody',
-      collect: (peer) => this.collect(peer),
-      absorb: (from, data) => this.absorb(from.name, sectionSchema.parse(data)),
+      collect: (peer) => this.collectSection(peer),
+      absorb: (from, data) => this.mergeSection(from.name, sectionSchema.parse(data)),
     });
-    this.task = this.runRounds();
+    this.task = this.startRounds();
   }
 
   bucketOf(key: string): number {
@@ -77,72 +85,72 @@
 
   holding(bucket: number): CustodyTerm | undefined {
     const { term, handover } = this.state(bucket);
-    if (term === undefined || !this.keepers.mayAct()) return undefined;
+    if (term === undefined || !this.daemons.mayAct()) return undefined;
     return handover === undefined || isSameTerm(handover.next, term) ? term : undefined;
   }
 
   homeTerm(bucket: number): CustodyTerm | undefined {
     const term = this.holding(bucket);
-    return term !== undefined && isSameKeeper(term.home, this.keepers.self) ? term : undefined;
+    return term !== undefined && isSameDaemon(term.home, this.daemons.self) ? term : undefined;
   }
 
   locate(bucket: number): string | undefined {
     if (this.homeTerm(bucket) !== undefined) return this.options.bus.self.name;
     const { handover, passedTo } = this.state(bucket);
-    return handover?.next.home.name ?? this.homes.find(bucket) ?? passedTo?.home.name;
+    return handover?.next.home.name ?? this.homes.likelyHome(bucket) ?? passedTo?.home.name;
   }
 
   hint(bucket: number, home: string): void {
-    if (home !== this.options.bus.self.name) this.homes.hint(bucket, home);
+    if (home !== this.options.bus.self.name) this.homes.addHint(bucket, home);
   }
 
   carry(cargo: CustodyCargo): void {
-    this.cargoCarried = cargo;
+    this.currentCargo = cargo;
   }
 
   possible(): ReadonlySet<string> {
-    return this.keepers.possible();
+    return this.daemons.possibleDaemons();
   }
 
   isStopped(name: string, incarnation: number): boolean {
-    return this.keepers.isStopped(name, incarnation);
+    return this.daemons.isStopped(name, incarnation);
   }
 
   isFormed(): boolean {
-    return this.homes.isAnyTold() || this.states.some((state) => state.term !== undefined);
+    return this.homes.hasAnyReportedHome() || this.states.some((state) => state.term !== undefined);
   }
 
   status(): CustodyStatus {
-    const { self } = this.keepers;
+    const { self } = this.daemons;
     const terms = this.states.map(standingTerm).filter((term) => term !== undefined);
     return {
-      home: terms.filter((term) => isSameKeeper(term.home, self)).length,
-      backup: terms.filter((term) => isSameKeeper(term.backup, self)).length,
-      handovers: this.states.filter(({ handover }) => handover?.isDeputy === false).length,
-      mayAct: this.keepers.mayAct(),
+      home: terms.filter((term) => isSameDaemon(term.home, self)).length,
+      backup: terms.filter((term) => isSameDaemon(term.backup, self)).length,
+      handovers: this.states.filter(({ handover }) => handover?.isStandby === false).length,
+      mayAct: this.daemons.mayAct(),
     };
   }
 
   isSettled(): boolean {
     const candidates = this.candidates();
     return this.states.every((state, bucket) => {
-      if (state.handover !== undefined && !state.handover.isDeputy) return false;
-      return standingTerm(state) !== undefined || !this.isMine(bucket, candidates);
+      if (state.handover !== undefined && !state.handover.isStandby) return false;
+      return standingTerm(state) !== undefined || !this.shouldBeHome(bucket, candidates);
     });
   }
 
   async leave(signal: AbortSignal): Promise<void> {
     const { timers, roundMs = DEFAULT_ROUND_MS } = this.options;
-    this.leaving = true;
+    this.shuttingDown = true;
     while (this.states.some((state) => standingTerm(state) !== undefined))
       await timers.sleep(roundMs, signal);
   }
 
   async stop(): Promise<void> {
     await this.task.stop();
-    this.keepers.retire();
-    const { name, generation } = this.keepers.self;
-    const peers = [...this.keepers.possible()].filter((peer) => peer !== name);
+    this.daemons.stopActing();
+    const { name, generation } = this.daemons.self;
+    const peers = [...this.daemons.possibleDaemons()].filter((peer) => peer !== name);
     const reachable = peers.filter((peer) => this.options.membership.isReachable(peer));
     await Promise.all(reachable.map((peer) => this.call(peer, BYE, { generation })));
   }
@@ -152,11 +160,11 @@
   }
 
   cargo(): CustodyCargo {
-    return this.cargoCarried;
+    return this.currentCargo;
   }
 
-  isLeaving(): boolean {
-    return this.leaving;
+  isShuttingDown(): boolean {
+    return this.shuttingDown;
   }
 
   async call<Input>(peer: string, procedure: PeerProcedure<Input, boolean>, input: Input): Promise<boolean> {
@@ -168,9 +176,9 @@
     }
   }
 
-  private runRounds(): Task<void> {
+  private startRounds(): Task<void> {
     const { timers, log, roundMs = DEFAULT_ROUND_MS } = this.options;
-    const work = (): Promise<void> => this.round();
+    const work = (): Promise<void> => this.runRound();
     return runTask(function* rounds(signal) {
       for (;;) {
         yield timers.sleep(roundMs, signal);
@@ -178,21 +186,21 @@
           yield work();
         } catch (err) {
           if (signal.aborted) throw err;
-          log.error(`A round of custody failed: ${toCeleryyokeError(err).message}`);
+          log.error(`Custody round failed: ${toCeleryyokeError(err).message}`);
         }
       }
     });
   }
 
-  private async round(): Promise<void> {
-    this.keepers.refresh();
-    const due = this.states.filter((state) => this.desk.isDue(state));
-    await Promise.all(due.map((state) => this.desk.work(state)));
-    if (!this.leaving) await this.claims.claim(this.unkept());
+  private async runRound(): Promise<void> {
+    this.daemons.refresh();
+    const due = this.states.filter((state) => this.handovers.isDue(state));
+    await Promise.all(due.map((state) => this.handovers.advance(state)));
+    if (!this.shuttingDown) await this.claims.claimBuckets(this.unheldBuckets());
   }
 
-  /** Buckets that this daemon should be the home of and that nobody is known to keep. */
-  private unkept(): number[] {
+  /** Buckets that this daemon should be the home of and that no daemon is known to hold. */
+  private unheldBuckets(): number[] {
     const candidates = this.candidates();
     if (!candidates.some(({ name }) => name === this.options.bus.self.name)) return [];
     const buckets = Array.from(this.states.keys());
@@ -201,53 +209,49 @@
       return (
         term === undefined &&
         handover === undefined &&
-        !this.homes.isTold(bucket) &&
-        this.isMine(bucket, candidates)
+        !this.homes.hasReportedHome(bucket) &&
+        this.shouldBeHome(bucket, candidates)
       );
     });
   }
 
-  private candidates(): readonly KeeperCandidate[] {
-    return this.keepers.candidates(!this.leaving);
+  private candidates(): readonly CustodianCandidate[] {
+    return this.daemons.candidates(!this.shuttingDown);
   }
 
-  private isMine(bucket: number, candidates: readonly KeeperCandidate[]): boolean {
+  private shouldBeHome(bucket: number, candidates: readonly CustodianCandidate[]): boolean {
     const pair = pairOf(bucket, candidates);
     return pair?.home.name === this.options.bus.self.name;
   }
 
-  private isKnown(term: CustodyTerm): boolean {
+  private isValidBucket(term: CustodyTerm): boolean {
     return term.bucket >= 0 && term.bucket < this.buckets;
   }
 
-  private forgetAll(cause: string): void {
-    this.options.log.warn(`Custody is given up because ${cause}.`);
+  private dropAll(cause: string): void {
+    this.options.log.warn(`Dropping custody of all buckets: ${cause}.`);
     for (const [bucket, state] of this.states.entries()) {
       state.term = undefined;
       state.handover = undefined;
       state.passedTo = undefined;
       state.incoming = undefined;
-      this.cargoCarried.drop(bucket);
+      this.currentCargo.drop(bucket);
     }
   }
 
-  private collect(peer: string): CustodySection {
+  private collectSection(peer: string): CustodySection {
     const homes = this.homes.encode((bucket) => this.homeTerm(bucket) !== undefined);
-    return { generation: this.keepers.self.generation, buried: this.keepers.buriedGeneration(peer), homes };
+    return { generation: this.daemons.self.generation, buried: this.daemons.lostGenerationOf(peer), homes };
   }
 
-  private absorb(peer: string, section: CustodySection): void {
-    this.keepers.heard(peer, section.generation);
-    if (section.buried !== undefined) this.keepers.heardBuried(section.buried);
-    this.homes.absorb(peer, section.homes);
+  private mergeSection(peer: string, section: CustodySection): void {
+    this.daemons.recordGeneration(peer, section.generation);
+    if (section.buried !== undefined) this.daemons.handleCountedAsLost(section.buried);
+    this.homes.merge(peer, section.homes);
   }
 }
 
-/**
- * Makes custody that moves only by explicit hand-over.
- * @param options - Bus, membership, time and bounds.
- * @returns The custody, which has begun its rounds.
- */
+/** Creates custody that moves only by explicit handover, and starts its rounds. */
 export function createCustody(options: CustodyOptions): Custody {
-  return new AgreedCustody(options);
+  return new HandoverCustody(options);
 }
--- a/packages/fleet/src/core/custody/daemon-tracker.ts
+++ b/packages/fleet/src/core/custody/daemon-tracker.ts
@@ -1,228 +1,227 @@
-/** Which daemons could still act on custody: their generations, and who counts as gone. */
+/** Tracks which daemons could still act on custody: their generations, and which of them count as gone. */
 import type { HostEntry } from '@celeryyoke/platform';
 import { HostRole } from '@celeryyoke/platform';
 
 import type { Candidate } from './rendezvous.js';
 import { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
-import type { CustodyOptions, KeeperRef } from './types.js';
+import type { CustodyOptions, DaemonRef } from './types.js';
 
 const DEFAULT_ABSENT_AFTER_MS = 15_000;
 const DEFAULT_MAX_VIEW_AGE_MS = 5000;
-const RESUME_MS = 1500;
-/** Incarnations are whole numbers, so a fraction never reaches the next one; it is exact in binary. */
+const RESUME_DELAY_MS = 1500;
+/** Incarnations are integers, so fractional steps stay below the next one; 1/1024 is exact in binary. */
 const GENERATION_STEP = 1 / 1024;
 
-/** A daemon that could be given custody. */
-export interface KeeperCandidate extends Candidate {
-  readonly ref: KeeperRef;
+/** A daemon that can receive custody. */
+export interface CustodianCandidate extends Candidate {
+  readonly ref: DaemonRef;
 }
 
-/**
- * Compares two references.
- * @param left - One of them.
- * @param right - The other.
- * @returns Whether they name the same stretch of the same daemon's life.
- */
-export function isSameKeeper(left: KeeperRef, right: KeeperRef): boolean {
+/** Whether two references have the same name and generation. */
+export function isSameDaemon(left: DaemonRef, right: DaemonRef): boolean {
   return left.name === right.name && left.generation === right.generation;
 }
 
-/** The keepers of one list. */
-interface KeeperChoice {
+/** Custodians chosen from one host list. */
+interface CustodianChoice {
   readonly hosts: readonly HostEntry[];
   readonly withSelf: boolean;
-  readonly keepers: readonly HostEntry[];
+  readonly custodians: readonly HostEntry[];
 }
 
-/** The daemons of the fleet, as one of them knows them. */
-export class Keepers {
-  private generation: number;
+/**
+ * Daemons of the fleet as this one knows them. A daemon that may have been counted as gone by others starts a
+ * new generation and drops all custody; it acts only while it could have learned that it counts as gone.
+ */
+export class DaemonTracker {
+  private ownGeneration: number;
 
-  private readonly generations = new Map<string, number>();
+  private readonly peerGenerations = new Map<string, number>();
 
-  private readonly absentSince = new Map<string, number>();
+  private readonly absentSinceMs = new Map<string, number>();
 
-  /** Hosts that were off the list for so long that whatever they held counts as lost. */
-  private readonly absent = new Set<string>();
+  /** Hosts that have been off the list for so long that the buckets they held count as lost. */
+  private readonly lostHosts = new Set<string>();
 
-  /** Greatest generation of a returned host that counts as lost, for good. */
-  private readonly buried = new Map<string, number>();
+  /** Greatest generation of a returned host that counts as lost permanently. */
+  private readonly lostGenerations = new Map<string, number>();
 
-  /** Greatest generation of each daemon that said itself that it acts no more. */
-  private readonly retired = new Map<string, number>();
+  /** Greatest generation of each daemon that reported that it has stopped acting. */
+  private readonly stoppedGenerations = new Map<string, number>();
 
-  private hasRetired = false;
+  private hasStopped = false;
 
   private isListed = false;
 
-  private isFirstLook = true;
+  private isFirstRefresh = true;
 
-  private readyAt = 0;
+  private resumesAtMs = 0;
 
-  private refreshedAt = -Infinity;
+  private refreshedAtMs = -Infinity;
 
-  private choice: KeeperChoice | undefined;
+  private cachedChoice: CustodianChoice | undefined;
 
   private readonly absentAfterMs: number;
 
   private readonly maxViewAgeMs: number;
 
-  /**
-   * Makes the knowledge of a daemon that has just started.
-   * @param options - Bus, membership and bounds.
-   * @param onFenced - Called when this daemon must forget all custody.
-   */
+  /** @param onFenced - Called when this daemon must drop all custody. */
   constructor(
     private readonly options: CustodyOptions,
     private readonly onFenced: (cause: string) => void,
   ) {
-    this.generation = options.bus.self.incarnation;
+    this.ownGeneration = options.bus.self.incarnation;
     this.absentAfterMs = options.absentAfterMs ?? DEFAULT_ABSENT_AFTER_MS;
     this.maxViewAgeMs = options.maxViewAgeMs ?? DEFAULT_MAX_VIEW_AGE_MS;
   }
 
-  /** This daemon. */
-  get self(): KeeperRef {
-    return { name: this.options.bus.self.name, generation: this.generation };
+  /** Reference to this daemon in its current generation. */
+  get self(): DaemonRef {
+    return { name: this.options.bus.self.name, generation: this.ownGeneration };
   }
 
-  /** Whether this daemon may act: it is listed, it sees the fleet, and has not just come out of a pause. */
+  /** Whether this daemon may act: it is listed, sees the fleet, and has not just resumed from a pause. */
   mayAct(): boolean {
     const now = this.options.timers.now();
-    if (this.hasRetired || !this.isListed) return false;
-    return this.isSighted() && !this.isLate(now) && now >= this.readyAt;
+    if (this.hasStopped || !this.isListed) return false;
+    return this.canLearnOfLoss() && !this.wasPaused(now) && now >= this.resumesAtMs;
   }
 
-  /** Ends this daemon's acting for good, before it tells the others. */
-  retire(): void {
-    this.hasRetired = true;
+  /** Stops this daemon from acting permanently, before it reports that to its peers. */
+  stopActing(): void {
+    this.hasStopped = true;
   }
 
-  /** Takes in that a peer acts no more. */
-  heardRetired(peer: string, generation: number): void {
-    this.retired.set(peer, Math.max(generation, this.retired.get(peer) ?? -Infinity));
+  /** Records that a peer has stopped acting. */
+  recordStopped(peer: string, generation: number): void {
+    this.stoppedGenerations.set(peer, Math.max(generation, this.stoppedGenerations.get(peer) ?? -Infinity));
   }
 
-  /** Whether a reference can no longer act, or counts as such. */
-  isGone(ref: KeeperRef): boolean {
-    if (this.absent.has(ref.name)) return true;
-    if ((this.buried.get(ref.name) ?? -Infinity) >= ref.generation) return true;
-    if ((this.retired.get(ref.name) ?? -Infinity) >= ref.generation) return true;
-    const known = ref.name === this.self.name ? this.generation : this.knownGeneration(ref.name);
+  /** Whether a daemon can no longer act, or counts as gone. */
+  isGone(ref: DaemonRef): boolean {
+    if (this.lostHosts.has(ref.name)) return true;
+    if ((this.lostGenerations.get(ref.name) ?? -Infinity) >= ref.generation) return true;
+    if ((this.stoppedGenerations.get(ref.name) ?? -Infinity) >= ref.generation) return true;
+    const known = ref.name === this.self.name ? this.ownGeneration : this.knownGeneration(ref.name);
     return known !== undefined && known > ref.generation;
   }
 
-  /** Whether a process has ended, or was off the list for so long that it counts as ended. */
+  /** Whether a process has ended, or has been off the list for so long that it counts as ended. */
   isStopped(name: string, incarnation: number): boolean {
-    if (this.absent.has(name)) return true;
-    if ((this.retired.get(name) ?? -Infinity) >= incarnation) return true;
-    const known = name === this.self.name ? this.generation : this.options.membership.incarnation(name);
+    if (this.lostHosts.has(name)) return true;
+    if ((this.stoppedGenerations.get(name) ?? -Infinity) >= incarnation) return true;
+    const known = name === this.self.name ? this.ownGeneration : this.options.membership.incarnation(name);
     return known !== undefined && Math.floor(known) > incarnation;
   }
 
-  /** Greatest generation of a peer that this daemon counts as gone. */
-  buriedGeneration(peer: string): number | undefined {
-    return this.buried.get(peer);
+  /** Greatest generation of a peer that this daemon counts as lost. */
+  lostGenerationOf(peer: string): number | undefined {
+    return this.lostGenerations.get(peer);
   }
 
-  /** Takes in a generation that a peer told of itself. */
-  heard(peer: string, generation: number): void {
-    if (generation > (this.generations.get(peer) ?? -Infinity)) this.generations.set(peer, generation);
-    if (!this.absent.has(peer) || this.options.membership.host(peer) === undefined) return;
-    this.absent.delete(peer);
-    this.buried.set(peer, Math.max(generation, this.knownGeneration(peer) ?? generation));
+  /** Records the generation that a peer reports for itself. */
+  recordGeneration(peer: string, generation: number): void {
+    if (generation > (this.peerGenerations.get(peer) ?? -Infinity))
+      this.peerGenerations.set(peer, generation);
+    if (!this.lostHosts.has(peer) || this.options.membership.host(peer) === undefined) return;
+    this.lostHosts.delete(peer);
+    this.lostGenerations.set(peer, Math.max(generation, this.knownGeneration(peer) ?? generation));
   }
 
-  /** Takes in that a peer counts a generation of this daemon as gone. */
-  heardBuried(generation: number): void {
-    if (generation >= this.generation) this.fence('a peer had counted this daemon as gone');
+  /** Handles that a peer counts a generation of this daemon as lost. */
+  handleCountedAsLost(generation: number): void {
+    if (generation >= this.ownGeneration) this.startNewGeneration('a peer had counted this daemon as gone');
   }
 
-  /** Names of all daemons that may hold something, this one included. */
-  possible(): Set<string> {
-    const names = new Set([this.self.name, ...this.generations.keys()]);
+  /** Names of all daemons that may hold buckets, this one included. */
+  possibleDaemons(): Set<string> {
+    const names = new Set([this.self.name, ...this.peerGenerations.keys()]);
     for (const { name } of this.options.membership.hosts(HostRole.Entry)) names.add(name);
-    for (const name of this.absent) names.delete(name);
-    for (const [name, generation] of this.retired) {
+    for (const name of this.lostHosts) names.delete(name);
+    for (const [name, generation] of this.stoppedGenerations) {
       if ((this.knownGeneration(name) ?? -Infinity) <= generation) names.delete(name);
     }
     return names;
   }
 
-  /** Notes a daemon that a peer knows of. */
-  learn(name: string): void {
-    if (name !== this.self.name && !this.generations.has(name)) this.generations.set(name, -Infinity);
+  /** Adds a daemon that a peer knows of. */
+  addDaemon(name: string): void {
+    if (name !== this.self.name && !this.peerGenerations.has(name)) this.peerGenerations.set(name, -Infinity);
   }
 
-  /** Daemons that could be given custody now. */
-  candidates(withSelf: boolean): KeeperCandidate[] {
-    const found: KeeperCandidate[] = [];
-    for (const { name, domain } of this.chosen(withSelf)) {
-      const ref = name === this.self.name ? this.self : this.peerRef(name);
+  /** Daemons that can receive custody now. */
+  candidates(withSelf: boolean): CustodianCandidate[] {
+    const found: CustodianCandidate[] = [];
+    for (const { name, domain } of this.chooseFromList(withSelf)) {
+      const ref = name === this.self.name ? this.self : this.refOfPeer(name);
       if (ref !== undefined) found.push({ name, domain, ref });
     }
     return found;
   }
 
-  /** Keepers by the list alone, known or not; the list's own array is remembered, which changes with the list. */
-  private chosen(withSelf: boolean): readonly HostEntry[] {
+  /** Custodians by the host list alone, reachable or not; cached until the list's array changes. */
+  private chooseFromList(withSelf: boolean): readonly HostEntry[] {
     const { membership } = this.options;
     const hosts = membership.hosts(HostRole.Entry);
-    if (this.choice?.hosts === hosts && this.choice.withSelf === withSelf) return this.choice.keepers;
+    if (this.cachedChoice?.hosts === hosts && this.cachedChoice.withSelf === withSelf)
+      return this.cachedChoice.custodians;
     const able = hosts.filter(({ name }) => membership.isLive(name) && (withSelf || name !== this.self.name));
-    const keepers = chooseKeepers(able, this.options.keepers ?? DEFAULT_KEEPERS);
-    this.choice = { hosts, withSelf, keepers };
-    this.pinKeepers(keepers);
-    return keepers;
+    const custodians = chooseKeepers(able, this.options.maxCustodians ?? DEFAULT_KEEPERS);
+    this.cachedChoice = { hosts, withSelf, custodians };
+    this.pinCustodians(custodians);
+    return custodians;
   }
 
-  /** A keeper keeps links to the others, since it must know whether they are there. */
-  private pinKeepers(keepers: readonly HostEntry[]): void {
-    const names = keepers.map(({ name }) => name);
+  /**
+   * Requests connections to the other custodians if this daemon is one, since it must know whether they are
+   * up.
+   */
+  private pinCustodians(custodians: readonly HostEntry[]): void {
+    const names = custodians.map(({ name }) => name);
     this.options.pin?.(names.includes(this.self.name) ? names : []);
   }
 
-  /** Looks at the list anew; called in every round. */
+  /** Updates this daemon's standing and the absences from the host list; called in every round. */
   refresh(): void {
     const { membership, timers } = this.options;
     const now = timers.now();
-    if (!this.isSighted() || this.isLate(now)) this.readyAt = now + RESUME_MS;
-    this.refreshedAt = now;
+    if (!this.canLearnOfLoss() || this.wasPaused(now)) this.resumesAtMs = now + RESUME_DELAY_MS;
+    this.refreshedAtMs = now;
     if (!this.isViewFresh()) {
-      this.absentSince.clear();
+      this.absentSinceMs.clear();
       return;
     }
     const isListed = membership.host(this.self.name) !== undefined;
-    if (this.isListed && !isListed) this.fence('the host list no longer names this daemon');
+    if (this.isListed && !isListed) this.startNewGeneration('the host list no longer names this daemon');
     this.isListed = isListed;
-    this.isFirstLook = false;
-    this.watchAbsences(now);
+    this.isFirstRefresh = false;
+    this.updateAbsences(now);
   }
 
-  private watchAbsences(now: number): void {
+  private updateAbsences(now: number): void {
     const { membership } = this.options;
-    for (const { name } of membership.hosts(HostRole.Entry)) this.learn(name);
-    for (const name of this.generations.keys()) {
+    for (const { name } of membership.hosts(HostRole.Entry)) this.addDaemon(name);
+    for (const name of this.peerGenerations.keys()) {
       if (membership.host(name) !== undefined) {
-        this.absentSince.delete(name);
+        this.absentSinceMs.delete(name);
         continue;
       }
-      const since = this.absentSince.get(name) ?? now;
-      this.absentSince.set(name, since);
-      if (now - since >= this.absentAfterMs) this.absent.add(name);
+      const since = this.absentSinceMs.get(name) ?? now;
+      this.absentSinceMs.set(name, since);
+      if (now - since >= this.absentAfterMs) this.lostHosts.add(name);
     }
   }
 
-  /** Whether the rounds stood still for so long that the process must have been paused. */
-  private isLate(now: number): boolean {
-    return !this.isFirstLook && now - this.refreshedAt > this.maxViewAgeMs;
+  /** Whether no round has run for so long that the process must have been paused. */
+  private wasPaused(now: number): boolean {
+    return !this.isFirstRefresh && now - this.refreshedAtMs > this.maxViewAgeMs;
   }
 
   /**
-   * Whether anyone that counts this daemon as gone could tell it: by the list, or, while the list can't be read,
-   * because every daemon that was on it is heard.
+   * Whether this daemon would learn that others count it as gone: from the host list or, while the list can't
+   * be read, because every daemon that was on it is reachable.
    */
-  private isSighted(): boolean {
+  private canLearnOfLoss(): boolean {
     const { membership } = this.options;
     if (membership.isDoubtful()) return false;
     if (this.isViewFresh()) return true;
@@ -237,19 +236,19 @@
 
   private knownGeneration(peer: string): number | undefined {
     const incarnation = this.options.membership.incarnation(peer) ?? -Infinity;
-    const known = Math.max(incarnation, this.generations.get(peer) ?? -Infinity);
+    const known = Math.max(incarnation, this.peerGenerations.get(peer) ?? -Infinity);
     return known === -Infinity ? undefined : known;
   }
 
-  private peerRef(name: string): KeeperRef | undefined {
+  private refOfPeer(name: string): DaemonRef | undefined {
     const generation = this.knownGeneration(name);
     if (generation === undefined || !this.options.membership.isReachable(name)) return undefined;
     const ref = { name, generation };
     return this.isGone(ref) ? undefined : ref;
   }
 
-  private fence(cause: string): void {
-    this.generation += GENERATION_STEP;
+  private startNewGeneration(cause: string): void {
+    this.ownGeneration += GENERATION_STEP;
     this.onFenced(cause);
   }
 }
--- a/packages/fleet/src/core/custody/home-map.ts
+++ b/packages/fleet/src/core/custody/home-map.ts
@@ -1,68 +1,68 @@
-/** Who is the home of each bucket, as the peers' heartbeats tell it. */
+/** Tracks the home of each bucket, as peers report it in heartbeats. */
 import { HostRole } from '@celeryyoke/platform';
 
 import type { Membership } from '../membership/index.js';
 import { chooseKeepers, pairOf } from './rendezvous.js';
 
-const BITS = 8;
+const BITS_PER_BYTE = 8;
 
-/** Homes by bucket. */
+/** Homes by bucket: reported in heartbeats, named in responses, or else computed from the host list. */
 export class HomeMap {
-  private readonly told = new Map<number, string>();
+  private readonly reportedHomes = new Map<number, string>();
 
-  /** Homes that were named in an answer, until a heartbeat tells better. */
-  private readonly hinted = new Map<number, string>();
+  /** Homes that were named in a response, until a heartbeat supersedes them. */
+  private readonly hintedHomes = new Map<number, string>();
 
   constructor(
     private readonly buckets: number,
     private readonly membership: Membership,
-    /** Most daemons that keep buckets. */
-    private readonly keepers: number,
+    /** Greatest number of daemons that hold buckets. */
+    private readonly maxCustodians: number,
   ) {}
 
-  /** Finds the home that was told, or else the one that the host list suggests. */
-  find(bucket: number): string | undefined {
-    const hinted = this.hinted.get(bucket);
+  /** Returns the hinted or reported home, or else the one that the host list gives. */
+  likelyHome(bucket: number): string | undefined {
+    const hinted = this.hintedHomes.get(bucket);
     if (hinted !== undefined && this.membership.isReachable(hinted)) return hinted;
-    if (this.isTold(bucket)) return this.told.get(bucket);
+    if (this.hasReportedHome(bucket)) return this.reportedHomes.get(bucket);
     const live = this.membership.hosts(HostRole.Entry).filter((host) => this.membership.isLive(host.name));
-    return pairOf(bucket, chooseKeepers(live, this.keepers))?.home.name;
+    return pairOf(bucket, chooseKeepers(live, this.maxCustodians))?.home.name;
   }
 
-  /** Whether a peer that can be reached says that it is the home. */
-  isTold(bucket: number): boolean {
-    const home = this.told.get(bucket);
+  /** Whether a reachable peer has reported that it is the home. */
+  hasReportedHome(bucket: number): boolean {
+    const home = this.reportedHomes.get(bucket);
     return home !== undefined && this.membership.isReachable(home);
   }
 
-  /** Whether any peer has said that it is the home of any bucket. */
-  isAnyTold(): boolean {
-    return this.told.size > 0;
+  /** Whether any peer has reported that it is the home of any bucket. */
+  hasAnyReportedHome(): boolean {
+    return this.reportedHomes.size > 0;
   }
 
-  /** Notes a home that an answer named. */
-  hint(bucket: number, home: string): void {
-    this.hinted.set(bucket, home);
+  /** Records the home that a response named. */
+  addHint(bucket: number, home: string): void {
+    this.hintedHomes.set(bucket, home);
   }
 
-  /** Packs the buckets that a test picks, one bit each. */
+  /** Encodes the buckets that satisfy a predicate as a bitmap. */
   encode(isPicked: (bucket: number) => boolean): Uint8Array {
-    const bits = new Uint8Array(Math.ceil(this.buckets / BITS));
+    const bits = new Uint8Array(Math.ceil(this.buckets / BITS_PER_BYTE));
     for (let bucket = 0; bucket < this.buckets; bucket += 1) {
-      const byte = Math.floor(bucket / BITS);
-      if (isPicked(bucket)) bits[byte] = bits[byte]! + 2 ** (bucket % BITS);
+      const byte = Math.floor(bucket / BITS_PER_BYTE);
+      if (isPicked(bucket)) bits[byte] = bits[byte]! + 2 ** (bucket % BITS_PER_BYTE);
     }
     return bits;
   }
 
-  /** Takes in the buckets whose home a peer says it is. */
-  absorb(peer: string, bits: Uint8Array): void {
+  /** Merges the bitmap of buckets whose home a peer reports to be. */
+  merge(peer: string, bits: Uint8Array): void {
     for (let bucket = 0; bucket < this.buckets; bucket += 1) {
-      const byte = bits[Math.floor(bucket / BITS)] ?? 0;
-      const isHome = Math.floor(byte / 2 ** (bucket % BITS)) % 2 === 1;
-      if (isHome || this.hinted.get(bucket) === peer) this.hinted.delete(bucket);
-      if (isHome) this.told.set(bucket, peer);
-      else if (this.told.get(bucket) === peer) this.told.delete(bucket);
+      const byte = bits[Math.floor(bucket / BITS_PER_BYTE)] ?? 0;
+      const isHome = Math.floor(byte / 2 ** (bucket % BITS_PER_BYTE)) % 2 === 1;
+      if (isHome || this.hintedHomes.get(bucket) === peer) this.hintedHomes.delete(bucket);
+      if (isHome) this.reportedHomes.set(bucket, peer);
+      else if (this.reportedHomes.get(bucket) === peer) this.reportedHomes.delete(bucket);
     }
   }
 }
--- a/packages/fleet/src/core/custody/index.ts
+++ b/packages/fleet/src/core/custody/index.ts
@@ -1,4 +1,4 @@
-/** Custody of buckets of records. */
+/** Custody: which two daemons hold the records of each bucket of keys. */
 export { createCustody } from './custody.js';
 export { isSameTerm } from './bucket.js';
 export { createComputedCustody } from './computed.js';
@@ -9,5 +9,5 @@
   CustodyOptions,
   CustodyStatus,
   CustodyTerm,
-  KeeperRef,
+  DaemonRef,
 } from './types.js';
--- a/packages/fleet/src/core/custody/rendezvous.ts
+++ b/packages/fleet/src/core/custody/rendezvous.ts
@@ -1,47 +1,35 @@
-/** Rendezvous ranks: every daemon with the same hosts computes the same order. */
+/** Rendezvous hashing of buckets: every daemon with the same hosts computes the same order. */
 import { hash32 } from '@celeryyoke/core';
 
-/** Most hosts that keep buckets when the options state no other number. */
+/** Default of the greatest number of hosts that hold buckets. */
 export const DEFAULT_KEEPERS = 16;
 
-/** A host that can keep records. */
+/** A host that can hold buckets; the backup should be in another failure domain than the home. */
 export interface Candidate {
   readonly name: string;
   readonly domain: string;
 }
 
-/** The pair that a list of hosts gives. */
+/** Home and backup of a bucket. */
 export interface CandidatePair<T extends Candidate> {
   readonly home: T;
   readonly backup: T;
 }
 
-/**
- * Computes a host's rank for a bucket.
- * @param bucket - The bucket.
- * @param name - The host.
- * @returns Its weight; the greatest is the home.
- */
-export function rankOf(bucket: number, name: string): number {
+/** Computes the weight of a host for a bucket; the host with the greatest weight is the home. */
+export function rendezvousWeight(bucket: number, name: string): number {
   return hash32(name, bucket + 1);
 }
 
-/**
- * Compares two hosts for a bucket.
- * @param bucket - The bucket.
- * @param left - One host's name.
- * @param right - The other's.
- * @returns Whether the left one goes before the right one.
- */
+/** Whether the host `left` precedes the host `right` for a bucket; equal weights are ordered by name. */
 export function outranks(bucket: number, left: string, right: string): boolean {
-  const difference = rankOf(bucket, left) - rankOf(bucket, right);
+  const difference = rendezvousWeight(bucket, left) - rendezvousWeight(bucket, right);
   return difference > 0 || (difference === 0 && left < right);
 }
 
 /**
- * Computes home and backup: the two first by rank, in different failure domains where there are two.
- * @param bucket - The bucket.
- * @param candidates - The hosts.
+ * Computes home and backup: the host with the greatest weight, and the next one, in another failure domain if
+ * there is one.
  * @returns The pair, or undefined when there are fewer than two hosts.
  */
 export function pairOf<T extends Candidate>(
@@ -68,19 +56,18 @@
   return outranks(bucket, left.name, right.name);
 }
 
-/** Keeps the choice of keepers apart from the ranks of buckets, whose seeds begin at 1. */
-const KEEPER_SEED = 0;
+/** Hash seed for the choice of custodians; differs from the seeds of buckets, which start at 1. */
+const CUSTODIAN_SEED = 0;
 
 /**
- * Chooses the hosts that keep buckets, the same on every daemon with the same list. In a large fleet a few hosts keep
- * all buckets, so that each of them can hold links to all the others.
- * @param hosts - The hosts.
- * @param most - Most keepers.
- * @returns The keepers; all hosts of a small fleet.
+ * Chooses the hosts that hold buckets, the same on every daemon with the same list. In a large fleet a few
+ * hosts hold all buckets, so that each of them can keep connections to all the others.
+ * @param most - Greatest number of hosts to choose.
+ * @returns The chosen hosts; all hosts of a small fleet.
  */
 export function chooseKeepers<T extends Candidate>(hosts: readonly T[], most: number): readonly T[] {
   if (hosts.length <= most) return hosts;
-  const ranked = hosts.map((host) => ({ host, rank: hash32(host.name, KEEPER_SEED) }));
+  const ranked = hosts.map((host) => ({ host, rank: hash32(host.name, CUSTODIAN_SEED) }));
   ranked.sort((left, right) => right.rank - left.rank || (left.host.name < right.host.name ? -1 : 1));
   return ranked.slice(0, most).map(({ host }) => host);
 }
--- a/packages/fleet/src/core/custody/types.ts
+++ b/packages/fleet/src/core/custody/types.ts
@@ -1,54 +1,53 @@
-/** Custody: which two daemons keep the records of a bucket of keys, agreed by explicit hand-over. */
+/** Types of custody: which two daemons hold the records of a bucket of keys, agreed by explicit handover. */
 import type { Log, TimerService } from '@celeryyoke/core';
 
 import type { Membership } from '../membership/index.js';
 import type { PeerBus } from '../peers/index.js';
 
-/** A daemon at one stretch of its life; what it knew before a greater generation is lost. */
-export interface KeeperRef {
+/** A daemon in one generation; custody that it held in an earlier generation is lost. */
+export interface DaemonRef {
   readonly name: string;
   readonly generation: number;
 }
 
-/** One stretch of custody of a bucket by one pair. */
+/** A period of custody of a bucket by one pair. */
 export interface CustodyTerm {
   readonly bucket: number;
-  /** Grows with each hand-over. */
+  /** Increases with each handover. */
   readonly epoch: number;
-  /** Decides about keys, and who comes next. */
-  readonly home: KeeperRef;
-  /** Holds a copy of each record, and decides once the home is gone. */
-  readonly backup: KeeperRef;
-  /** Wall-clock time from which on this pair knows every record of the bucket. */
+  /** Admits keys, and decides on the next pair. */
+  readonly home: DaemonRef;
+  /** Holds a copy of each record, and decides on the next pair once the home is gone. */
+  readonly backup: DaemonRef;
+  /** Wall-clock time from which this pair knows every record of the bucket. */
   readonly knownSince: number;
 }
 
-/** What travels with custody: records that belong to buckets. */
+/** Records of buckets, which move with custody. */
 export interface CustodyCargo {
-  /** Packs the records of a bucket into parts of bounded size; at least one part. */
+  /** Packs the records of a bucket into at least one part of bounded size. */
   pack(bucket: number): readonly unknown[];
-  /** Takes in one part. */
+  /** Merges one part into the records of a bucket. */
   unpack(bucket: number, part: unknown): void;
-  /** Forgets a bucket that this daemon has handed over, or has lost the right to. */
+  /** Deletes the records of a bucket that this daemon has handed over or may no longer hold. */
   drop(bucket: number): void;
 }
 
-/** What a daemon tells operators of its custody. */
+/** Custody of a daemon as reported to operators. */
 export interface CustodyStatus {
-  /** Buckets of which it is the home, or the backup. */
+  /** Number of buckets of which it is the home; `backup` likewise. */
   readonly home: number;
   readonly backup: number;
-  /** Hand-overs that are decided and not done. */
+  /** Handovers in progress. */
   readonly handovers: number;
-  /** Whether it may act now. */
+  /** Whether it may act on its custody now. */
   readonly mayAct: boolean;
 }
 
-/** Custody of buckets, as one daemon holds it. */
+/** Custody of buckets on one daemon. */
 export interface Custody {
   /** Number of buckets, the same on every daemon. */
   readonly buckets: number;
-  /** Finds the bucket of a key. */
   bucketOf(key: string): number;
   /** The term that this daemon holds and may act on now, as home or backup. */
   holding(bucket: number): CustodyTerm | undefined;
@@ -56,27 +55,28 @@
   homeTerm(bucket: number): CustodyTerm | undefined;
   /** The daemon that is most likely the home. */
   locate(bucket: number): string | undefined;
-  /** Notes that a daemon named another one as the home. */
+  /** Records that a daemon named another one as the home. */
   hint(bucket: number, home: string): void;
-  /** Sets what travels with custody. */
+  /** Sets the records that move with custody. */
   carry(cargo: CustodyCargo): void;
   /** Names of all daemons that may still act, this one included. */
   possible(): ReadonlySet<string>;
-  /** Whether a process can no longer act: a later one of its name was heard, or it was off the list for long. */
+  /**
+   * Whether a process can no longer act: a later one of its name was seen, it stopped, or it was long off the
+   * list.
+   */
   isStopped(name: string, incarnation: number): boolean;
-  /** Whether any daemon is known to keep any bucket; false at the first start of a fleet. */
+  /** Whether any daemon is known to hold a bucket; false at the first start of a fleet. */
   isFormed(): boolean;
-  /** Tells operators what is held. */
   status(): CustodyStatus;
   /** Whether every bucket that this daemon should be the home of has its pair. */
   isSettled(): boolean;
-  /** Hands everything over, for a graceful shutdown; settles when nothing is held or the signal aborts. */
+  /** Hands over all buckets for a graceful shutdown; settles when none is held or the signal aborts. */
   leave(signal: AbortSignal): Promise<void>;
-  /** Ends the task, acts no more, and tells the peers so. */
+  /** Stops the task, stops acting, and reports that to the peers. */
   stop(): Promise<void>;
 }
 
-/** Options of custody. */
 export interface CustodyOptions {
   readonly bus: PeerBus;
   readonly membership: Membership;
@@ -84,19 +84,20 @@
   readonly log: Log;
   /** Number of buckets, the same on every daemon; 256 when left out. */
   readonly buckets?: number;
-  /** Most daemons that keep buckets, the same on every daemon; 16 when left out. */
-  readonly keepers?: number;
-  /** Asks for links to be kept to the other keepers, if this daemon is one; called when they change. */
+  /** Greatest number of daemons that hold buckets, the same on every daemon; 16 when left out. */
+  readonly maxCustodians?: number;
+  /** Requests connections to all custodians if this daemon is one, else to none; called when they change. */
   readonly pin?: (peers: readonly string[]) => void;
-  /** Time between rounds of the task; 200 ms when left out. */
+  /** Interval between rounds of the task; 200 ms when left out. */
   readonly roundMs?: number;
-  /** Longest time for one call to a peer; 500 ms when left out. */
+  /** Timeout of one call to a peer; 500 ms when left out. */
   readonly callTimeoutMs?: number;
   /**
-   * Time off the host list after which a host counts as gone; it must be longer than `maxViewAgeMs` and the time
-   * for which two readers' lists can contradict each other together. 15,000 ms when left out, Infinity for never.
+   * Time off the host list after which a host counts as gone. It must be longer than the sum of
+   * `maxViewAgeMs` and the time for which the lists of two readers can contradict each other. 15,000 ms when
+   * left out, Infinity for never.
    */
   readonly absentAfterMs?: number;
-  /** Age of the host list above which this daemon acts on no custody; 5,000 ms when left out. */
+  /** Age of the host list above which the list counts as stale; 5,000 ms when left out. */
   readonly maxViewAgeMs?: number;
 }
--- a/packages/fleet/src/core/custody/wire.ts
+++ b/packages/fleet/src/core/custody/wire.ts
@@ -1,4 +1,4 @@
-/** Messages about custody between daemons. */
+/** Peer messages of custody. */
 import { z } from 'zod';
 
 import type { PeerProcedure } from '../peers/index.js';
@@ -6,44 +6,44 @@
 
 const MAX_BUCKETS = 65_536;
 
-const keeperSchema = z.object({ name: z.string(), generation: z.number() });
+const daemonRefSchema = z.object({ name: z.string(), generation: z.number() });
 
 const termSchema = z.object({
   bucket: z.number(),
   epoch: z.number(),
-  home: keeperSchema,
-  backup: keeperSchema,
+  home: daemonRefSchema,
+  backup: daemonRefSchema,
   knownSince: z.number(),
 });
 
 const cedeSchema = z.object({ term: termSchema, next: termSchema, isDelivered: z.boolean() });
 
-/** The home tells its backup which pair comes next; after that neither acts under the old term. */
+/** Fences the backup: the home names the next pair, and neither acts under the old term any more. */
 export type CedeMessage = z.infer<typeof cedeSchema>;
 
 const takeSchema = z.object({
   next: termSchema,
-  /** Names one sending of all parts; parts of two sendings are never put together. */
+  /** Identifies one transfer of all parts; parts of different transfers are never combined. */
   transfer: z.string(),
-  /** Number of this part, from 0. */
+  /** Index of this part, from 0. */
   part: z.number(),
   parts: z.number(),
   cargo: z.unknown(),
 });
 
-/** Hands a bucket over to a member of the next pair, in parts. */
+/** Transfers one part of a bucket to a member of the next pair. */
 export type TakeMessage = z.infer<typeof takeSchema>;
 
-/** Asks a member of a pair whether it has taken the bucket over already. */
+/** Asks a member of the next pair whether it already has the bucket. */
 export type HasMessage = z.infer<typeof termSchema>;
 
 const claimSchema = z.object({
-  claimant: keeperSchema,
+  claimant: daemonRefSchema,
   nonce: z.number(),
   buckets: z.array(z.number()).max(MAX_BUCKETS),
 });
 
-/** Asks for a promise that nobody else is let claim these buckets, which nobody keeps. */
+/** Requests the promise to let no other daemon claim these buckets, which no daemon holds. */
 export type ClaimMessage = z.infer<typeof claimSchema>;
 
 /** A promise for one bucket. */
@@ -51,66 +51,69 @@
   readonly bucket: number;
   /** Greatest epoch that the promising daemon has seen of it. */
   readonly epoch: number;
-  /** The pair that it handed the bucket to last; the claimant must hear of its members what became of that. */
+  /**
+   * The pair that it last handed the bucket to; the claimant must learn from its members whether that term
+   * ended.
+   */
   readonly passedTo?: CustodyTerm | undefined;
 }
 
-/** What a daemon answers to a claim. */
-export interface ClaimAnswer {
+/** Response to a claim. */
+export interface ClaimResponse {
   readonly promised: readonly ClaimPromise[];
-  /** Terms that stand against the claim. */
+  /** Current terms of claimed buckets, which block the claim. */
   readonly held: readonly CustodyTerm[];
-  /** Daemons that the answering one knows of; the claimant must ask them too. */
+  /** Daemons known to the responding one; the claimant needs their promises too. */
   readonly knows: readonly string[];
 }
 
 const checkSchema = z.object({ bucket: z.number(), nonce: z.number() });
 
-/** Asks a claimant whether a claim is still going on. */
+/** Asks a claimant whether its claim is still in progress. */
 export type CheckMessage = z.infer<typeof checkSchema>;
 
 const byeSchema = z.object({ generation: z.number() });
 
-/** Tells that the sender acts no more. */
+/** Reports that the sender has stopped acting. */
 export type ByeMessage = z.infer<typeof byeSchema>;
 
-/** Checks the section of the heartbeat. */
+/** Schema of the heartbeat section. */
 export const sectionSchema = z.object({
   generation: z.number(),
-  /** Greatest generation of the receiver that the sender counts as gone. */
+  /** Greatest generation of the receiver that the sender counts as lost. */
   buried: z.number().optional(),
-  /** One bit for each bucket whose home the sender is. */
+  /** Bitmap of the buckets whose home the sender is. */
   homes: z.custom<Uint8Array>((value) => value instanceof Uint8Array),
 });
 
-/** The section of the heartbeat. */
+/** Custody section of a heartbeat. */
 export type CustodySection = z.infer<typeof sectionSchema>;
 
-/** `custody.cede`, served by a backup; answers whether it is bound now. */
+/** `custody.cede`, served by a backup; returns whether it has accepted the decision. */
 export const CEDE: PeerProcedure<CedeMessage, boolean> = {
   name: 'custody.cede',
   parse: (raw) => cedeSchema.parse(raw),
 };
 
-/** `custody.take`, served by the next pair; answers whether it has that part, or has gone beyond. */
+/** `custody.take`, served by the next pair; returns whether it has that part or a later term. */
 export const TAKE: PeerProcedure<TakeMessage, boolean> = {
   name: 'custody.take',
   parse: (raw) => takeSchema.parse(raw),
 };
 
-/** `custody.has`, served by the next pair; answers whether nothing needs to be sent. */
+/** `custody.has`, served by the next pair; returns whether no transfer is needed. */
 export const HAS: PeerProcedure<HasMessage, boolean> = {
   name: 'custody.has',
   parse: (raw) => termSchema.parse(raw),
 };
 
 /** `custody.claim`, served by every daemon. */
-export const CLAIM: PeerProcedure<ClaimMessage, ClaimAnswer> = {
+export const CLAIM: PeerProcedure<ClaimMessage, ClaimResponse> = {
   name: 'custody.claim',
   parse: (raw) => claimSchema.parse(raw),
 };
 
-/** `custody.check`, served by every daemon; answers whether the claim is still going on. */
+/** `custody.check`, served by every daemon; returns whether the claim is still in progress. */
 export const CHECK: PeerProcedure<CheckMessage, boolean> = {
   name: 'custody.check',
   parse: (raw) => checkSchema.parse(raw),
--- a/packages/fleet/test/custody.test.ts
+++ b/packages/fleet/test/custody.test.ts
@@ -8,12 +8,12 @@
 import { createComputedCustody, createCustody, createKeyLedger, KeyOutcome } from '../src/index.js';
 import type { ManualMembership } from './support/fleet.js';
 import { createManualMembership, domainOf } from './support/fleet.js';
-import type { RoughNode } from './support/lossy-net.js';
-import { RoughNet } from './support/lossy-net.js';
+import type { LossyNetNode } from './support/lossy-net.js';
+import { LossyNet } from './support/lossy-net.js';
 
 const NAMES = ['d1', 'd2', 'd3', 'd4', 'd5'];
 const BUCKETS = 2;
-const BEAT_MS = 250;
+const HEARTBEAT_MS = 250;
 const errors: string[] = [];
 const log: Log = { ...createSilentLog(), error: (text) => errors.push(text), part: () => log };
 
@@ -21,7 +21,7 @@
 const never = new AbortController().signal;
 
 interface Daemon {
-  readonly node: RoughNode;
+  readonly node: LossyNetNode;
   readonly membership: ManualMembership;
   readonly custody: Custody;
   readonly ledger: KeyLedger;
@@ -29,16 +29,17 @@
 
 type MakeCustody = (options: CustodyOptions) => Custody;
 
-const KEEPERS = 3;
+const MAX_CUSTODIANS = 3;
 
-/** Custody as in a fleet that is larger than the number of keepers. */
-const createFewKeepers: MakeCustody = (options) => createCustody({ ...options, keepers: KEEPERS });
+/** Custody in a fleet with more daemons than `maxCustodians`. */
+const createCustodyOfFew: MakeCustody = (options) =>
+  createCustody({ ...options, maxCustodians: MAX_CUSTODIANS });
 
-/** A fleet on a rough net, with an oracle that counts the runs of each key. */
-class RoughFleet {
+/** A fleet on a lossy network that counts the runs of each key. */
+class SimulatedFleet {
   readonly timers: ManualTimerService = createManualTimers();
 
-  readonly net: RoughNet;
+  readonly net: LossyNet;
 
   readonly daemons = new Map<string, Daemon>();
 
@@ -46,24 +47,26 @@
 
   private incarnation = 0;
 
-  private drawn = 0;
+  private draws = 0;
 
   constructor(
     private readonly makeCustody: MakeCustody,
     private readonly noise: readonly number[],
     private readonly absentAfterMs = Infinity,
   ) {
-    this.net = new RoughNet(this.timers, (bound) => this.draw(bound));
+    this.net = new LossyNet(this.timers, (bound) => this.draw(bound));
     for (const name of NAMES) this.start(name);
-    this.timers.repeat(BEAT_MS, () => {
-      this.net.beat((at, from) => this.daemons.get(at)?.membership.heard(from.name, from.incarnation));
+    this.timers.repeat(HEARTBEAT_MS, () => {
+      this.net.sendHeartbeats((at, from) =>
+        this.daemons.get(at)?.membership.heard(from.name, from.incarnation),
+      );
     });
   }
 
-  /** Draws the next number of the noise; none of it left means a smooth net. */
+  /** Draws the next number of the noise, cyclically; without noise no message is lost or duplicated. */
   draw(bound: number): number {
-    this.drawn += 1;
-    const value = this.noise[this.drawn % this.noise.length];
+    this.draws += 1;
+    const value = this.noise[this.draws % this.noise.length];
     return value === undefined ? bound - 1 : value % bound;
   }
 
@@ -108,7 +111,7 @@
     return `caller/${v7({ msecs: this.timers.wall() })}`;
   }
 
-  /** Mends everything and waits until hand-overs must have ended. */
+  /** Ends all failures and advances time until handovers must have ended. */
   async heal(): Promise<void> {
     this.net.cuts.clear();
     for (const name of NAMES) {
@@ -127,15 +130,15 @@
   Send,
   NewKey,
   Crash,
-  /** A crash and a restart at once. */
-  Bounce,
+  /** A crash and an immediate restart. */
+  CrashAndRestart,
   Restart,
   Split,
   Mend,
-  /** One daemon gets any list. */
-  List,
-  /** Each side of the fleet gets a list that names that side alone. */
-  Sides,
+  /** One daemon gets an arbitrary host list. */
+  ChangeList,
+  /** Each side of a split fleet gets a host list that names only that side. */
+  SplitLists,
   Wait,
 }
 
@@ -149,12 +152,12 @@
   [StepKind.Send, 12],
   [StepKind.NewKey, 2],
   [StepKind.Crash, 1],
-  [StepKind.Bounce, 3],
+  [StepKind.CrashAndRestart, 3],
   [StepKind.Restart, 2],
   [StepKind.Split, 1],
   [StepKind.Mend, 2],
-  [StepKind.List, 3],
-  [StepKind.Sides, 3],
+  [StepKind.ChangeList, 3],
+  [StepKind.SplitLists, 3],
   [StepKind.Wait, 8],
 ];
 
@@ -166,7 +169,7 @@
 
 const isPicked = (bits: number, index: number): boolean => Math.floor(bits / 2 ** index) % 2 === 1;
 
-type Apply = (fleet: RoughFleet, name: string, step: Step, keys: string[]) => void;
+type Apply = (fleet: SimulatedFleet, name: string, step: Step, keys: string[]) => void;
 
 const APPLY: Readonly<Record<StepKind, Apply>> = {
   [StepKind.Send]: (fleet, _name, { at, bits }, keys) => {
@@ -178,7 +181,7 @@
     keys.push(fleet.makeKey());
   },
   [StepKind.Crash]: (fleet, name) => fleet.crash(name),
-  [StepKind.Bounce]: (fleet, name) => {
+  [StepKind.CrashAndRestart]: (fleet, name) => {
     fleet.crash(name);
     fleet.start(name);
   },
@@ -193,10 +196,10 @@
     });
   },
   [StepKind.Mend]: (fleet) => fleet.net.cuts.clear(),
-  [StepKind.List]: (fleet, name, { bits }) => {
+  [StepKind.ChangeList]: (fleet, name, { bits }) => {
     fleet.daemons.get(name)!.membership.list(NAMES.filter((_, index) => isPicked(bits, index)));
   },
-  [StepKind.Sides]: (fleet, _name, { bits }) => {
+  [StepKind.SplitLists]: (fleet, _name, { bits }) => {
     NAMES.forEach((name, own) => {
       const side = NAMES.filter((_, index) => isPicked(bits, index) === isPicked(bits, own));
       fleet.daemons.get(name)!.membership.list(side);
@@ -210,7 +213,7 @@
   readonly noise: readonly number[];
 }
 
-async function play(fleet: RoughFleet, { steps }: Scenario): Promise<readonly string[]> {
+async function runSteps(fleet: SimulatedFleet, { steps }: Scenario): Promise<readonly string[]> {
   await fleet.timers.advance(3000);
   const keys = [fleet.makeKey()];
   for (const step of steps) {
@@ -226,8 +229,8 @@
 });
 
 async function isSafe(makeCustody: MakeCustody, scenario: Scenario): Promise<boolean> {
-  const fleet = new RoughFleet(makeCustody, scenario.noise);
-  const keys = await play(fleet, scenario);
+  const fleet = new SimulatedFleet(makeCustody, scenario.noise);
+  const keys = await runSteps(fleet, scenario);
   await fleet.heal();
   for (const key of keys) for (const name of NAMES) fleet.send(name, key, KeyOutcome.Done);
   await fleet.timers.advance(3000);
@@ -241,12 +244,12 @@
   return !details.failed;
 }
 
-test('no key runs twice with any lists, crashes, splits, lost, late and doubled messages', async (t) => {
+test('no key runs twice under list changes, crashes, splits and unreliable messages', async (t) => {
   t.true(await runScenario(createCustody));
 });
 
-test('no key runs twice when three of the five daemons keep all buckets', async (t) => {
-  t.true(await runScenario(createFewKeepers, 80));
+test('no key runs twice when three of the five daemons hold all buckets', async (t) => {
+  t.true(await runScenario(createCustodyOfFew, 80));
 });
 
 test('pairs that each daemon computes from its own list let a key run twice', async (t) => {
@@ -254,30 +257,30 @@
 });
 
 async function admitsAgain(makeCustody: MakeCustody, { steps, noise }: Scenario): Promise<boolean> {
-  const fleet = new RoughFleet(makeCustody, noise);
-  await play(fleet, { steps, noise });
+  const fleet = new SimulatedFleet(makeCustody, noise);
+  await runSteps(fleet, { steps, noise });
   await fleet.heal();
   const settled = NAMES.map((name) => fleet.daemons.get(name)!.custody.isSettled());
   await fleet.stop();
   return settled.every(Boolean);
 }
 
-const KINDS = [
+const VARIANTS = [
   { name: 'all daemons', makeCustody: createCustody, numRuns: 150 },
-  { name: 'three keepers', makeCustody: createFewKeepers, numRuns: 60 },
+  { name: 'three custodians', makeCustody: createCustodyOfFew, numRuns: 60 },
 ] as const;
 
-for (const { name, makeCustody, numRuns } of KINDS) {
-  test(`after any such trouble the fleet admits new keys again, with ${name}`, async (t) => {
+for (const { name, makeCustody, numRuns } of VARIANTS) {
+  test(`after such failures the fleet admits new keys again, with ${name}`, async (t) => {
     const property = fc.asyncProperty(scenarioArbitrary, (scenario) => admitsAgain(makeCustody, scenario));
     await t.notThrowsAsync(fc.assert(property, { numRuns, seed: 7, endOnFailure: true }));
   });
 }
 
-test('in a large fleet a bounded number of daemons keeps everything, and they alone ask for links', async (t) => {
+test('in a large fleet few daemons hold all buckets, and only they request connections', async (t) => {
   const pinned = new Map<string, readonly string[]>();
-  const fleet = new RoughFleet(
-    (options) => createFewKeepers({ ...options, pin: (peers) => pinned.set(options.bus.self.name, peers) }),
+  const fleet = new SimulatedFleet(
+    (options) => createCustodyOfFew({ ...options, pin: (peers) => pinned.set(options.bus.self.name, peers) }),
     [],
   );
   await fleet.timers.advance(5000);
@@ -291,7 +294,7 @@
   await fleet.timers.advance(1000);
   t.is(fleet.mostRuns(), 1);
   const linked = NAMES.filter((name) => (pinned.get(name)?.length ?? 0) > 0);
-  t.is(linked.length, KEEPERS);
+  t.is(linked.length, MAX_CUSTODIANS);
   t.true(homes.every((name) => linked.includes(name)));
   for (const name of linked) t.deepEqual([...pinned.get(name)!].sort(), linked);
   await fleet.stop();
--- a/packages/fleet/test/support/lossy-net.ts
+++ b/packages/fleet/test/support/lossy-net.ts
@@ -1,11 +1,11 @@
-/** A net of peer buses that loses, delays, duplicates and reorders messages, on the hand-driven clock. */
+/** Network of peer buses that loses, delays, duplicates and reorders messages, on manual timers. */
 import type { ManualTimerService } from '@celeryyoke/core';
 import { CeleryyokeError } from '@celeryyoke/core';
 import { pack, unpack } from 'msgpackr';
 
 import type { HeartbeatSection, PeerBus, PeerIdentity } from '../../src/index.js';
 
-/** Draws a whole number from 0 to below a bound. */
+/** Draws an integer from 0 up to, but not including, a bound. */
 export type Draw = (bound: number) => number;
 
 const MAX_DELAY_MS = 60;
@@ -14,19 +14,19 @@
 
 type Handler = (raw: unknown, from: PeerIdentity) => Promise<unknown>;
 
-/** One process on the net. */
-export interface RoughNode {
+/** One process on the network. */
+export interface LossyNetNode {
   readonly bus: PeerBus;
   isAlive: boolean;
 }
 
-interface Entry extends RoughNode {
+interface Entry extends LossyNetNode {
   readonly handlers: Map<string, Handler>;
   readonly sections: HeartbeatSection[];
 }
 
-/** The net. */
-export class RoughNet {
+/** Delivers calls and heartbeats between processes; `cuts` holds the blocked directions as `from>to`. */
+export class LossyNet {
   private readonly nodes = new Map<string, Entry>();
 
   readonly cuts = new Set<string>();
@@ -36,8 +36,8 @@
     private readonly draw: Draw,
   ) {}
 
-  /** Starts a process, which takes the place of the last one of its name. */
-  join(self: PeerIdentity): RoughNode {
+  /** Adds a process, which replaces the previous one of its name. */
+  join(self: PeerIdentity): LossyNetNode {
     const entry: Entry = {
       isAlive: true,
       handlers: new Map(),
@@ -56,20 +56,20 @@
     return entry;
   }
 
-  /** Whether messages pass one way now. */
+  /** Whether messages are delivered in this direction now. */
   passes(from: string, to: string): boolean {
     return !this.cuts.has(`${from}>${to}`) && this.nodes.get(to)?.isAlive === true;
   }
 
   /** Sends one heartbeat from every process to every other. */
-  beat(onHeard: (at: string, from: PeerIdentity) => void): void {
+  sendHeartbeats(onHeard: (at: string, from: PeerIdentity) => void): void {
     for (const node of this.nodes.values()) {
       for (const peer of this.nodes.values())
-        if (node !== peer && node.isAlive) this.beatTo(node, peer, onHeard);
+        if (node !== peer && node.isAlive) this.sendHeartbeat(node, peer, onHeard);
     }
   }
 
-  private beatTo(node: Entry, peer: Entry, onHeard: (at: string, from: PeerIdentity) => void): void {
+  private sendHeartbeat(node: Entry, peer: Entry, onHeard: (at: string, from: PeerIdentity) => void): void {
     const { name } = peer.bus.self;
     const data = node.sections.map((section) => copy(section.collect(name)));
     this.send(node.bus.self.name, name, () => {
@@ -88,8 +88,8 @@
       if (!node.isAlive) return;
       this.send(self.name, peer, () => {
         const target = this.nodes.get(peer);
-        const answer = target?.handlers.get(name)?.(copy(input), self);
-        answer?.then(
+        const response = target?.handlers.get(name)?.(copy(input), self);
+        response?.then(
           (output) => {
             if (!target?.isAlive) return;
             this.send(peer, self.name, () => {
