--- a/packages/fleet/src/core/custody/daemon-tracker.ts
+++ b/packages/fleet/src/core/custody/daemon-tracker.ts
@@ -172,10 +172,7 @@
     return custodians;
   }
 
-  /**
-   * Requests connections to the other custodians if this daemon is one, since it must know whether they are
-   * up.
-   */
+  /** Requests connections to the other custodians if this daemon is one, to know whether they are up. */
   private pinCustodians(custodians: readonly HostEntry[]): void {
     const names = custodians.map(({ name }) => name);
     this.options.pin?.(names.includes(this.self.name) ? names : []);
--- a/packages/fleet/src/core/custody/types.ts
+++ b/packages/fleet/src/core/custody/types.ts
@@ -61,10 +61,7 @@
   carry(cargo: CustodyCargo): void;
   /** Names of all daemons that may still act, this one included. */
   possible(): ReadonlySet<string>;
-  /**
-   * Whether a process can no longer act: a later one of its name was seen, it stopped, or it was long off the
-   * list.
-   */
+  /** Whether a process can no longer act: it stopped, was replaced, or was off the host list for too long. */
   isStopped(name: string, incarnation: number): boolean;
   /** Whether any daemon is known to hold a bucket; false at the first start of a fleet. */
   isFormed(): boolean;
@@ -98,6 +95,10 @@
    * left out, Infinity for never.
    */
   readonly absentAfterMs?: number;
-  /** Age of the host list above which the list counts as stale; 5,000 ms when left out. */
+  /**
+   * Age of the host list above which it counts as stale, and time without a round after which this process
+   * counts as paused. A daemon with a stale list acts only while all listed peers are reachable.
+   * 5,000 ms when left out.
+   */
   readonly maxViewAgeMs?: number;
 }
--- a/packages/fleet/src/core/ownership/release-requester.ts
+++ b/packages/fleet/src/core/ownership/release-requester.ts
@@ -27,8 +27,7 @@
   constructor(private readonly options: ReleaseRequesterOptions) {}
 
   /**
-   * Requests the release of resources from a peer. A failed call is ignored: the next tick requests them
-   * again.
+   * Requests the release of resources from a peer. A failed call is ignored; the next tick sends it again.
    * @param resources - Resources that this daemon is waiting for.
    */
   async requestRelease(peer: string, resources: readonly string[]): Promise<void> {
--- a/packages/fleet/src/core/ownership/tenure.ts
+++ b/packages/fleet/src/core/ownership/tenure.ts
@@ -120,7 +120,7 @@
     return !mustWait && lease.isConfirmedStale() ? Authority.Additive : Authority.None;
   }
 
-  /** Whether slot leases may be granted at this moment; see `Ownership.mayGrant`. */
+  /** Whether slot leases may be granted at this moment; the conditions are stated in `Ownership`. */
   mayGrantSlotLeases(): boolean {
     const authority = this.authority();
     if (authority === Authority.Full) return true;
