--- a/packages/fleet/src/core/custody/index.ts
+++ b/packages/fleet/src/core/custody/index.ts
@@ -1,13 +1,13 @@
-/** Custody of buckets of records. */
-export { createCustody } from './agreed.js';
+/** Custody: which two daemons hold the records of each bucket of keys. */
+export { createCustody } from './custody.js';
 export { isSameTerm } from './bucket.js';
 export { createComputedCustody } from './computed.js';
-export { chooseKeepers, DEFAULT_KEEPERS } from './rank.js';
+export { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
 export type {
   Custody,
   CustodyCargo,
   CustodyOptions,
   CustodyStatus,
   CustodyTerm,
-  KeeperRef,
+  DaemonRef,
 } from './types.js';
