--- a/packages/bench/src/core/control/played-sections.ts
+++ b/packages/bench/src/core/control/played-sections.ts
@@ -2,7 +2,7 @@
 import { PACKED_SCHEMA } from '@celeryyoke/configuration';
 import { hash32 } from '@celeryyoke/core';
 import type { HeartbeatSection } from '@celeryyoke/fleet';
-import { chooseKeepers, DEFAULT_KEEPERS } from '@celeryyoke/fleet';
+import { chooseCustodians, DEFAULT_MAX_CUSTODIANS } from '@celeryyoke/fleet';
 
 import { adapterName } from './site.js';
 import type { PlayedConfig } from './played-config.js';
@@ -24,7 +24,7 @@
 export function homesOf(names: readonly string[]): ReadonlyMap<string, Uint8Array> {
   const homes = new Map(names.map((name) => [name, new Uint8Array(BUCKETS / BITS)]));
   const hosts = names.map((name) => ({ name, domain: '' }));
-  const keepers = chooseKeepers(hosts, DEFAULT_KEEPERS).map(({ name }) => name);
+  const keepers = chooseCustodians(hosts, DEFAULT_MAX_CUSTODIANS).map(({ name }) => name);
   for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
     const home = keepers.reduce((best, name) =>
       hash32(name, bucket + 1) > hash32(best, bucket + 1) ? name : best,
--- a/packages/daemon/src/core/daemon/daemon.ts
+++ b/packages/daemon/src/core/daemon/daemon.ts
@@ -105,7 +105,7 @@
     const steps = [
       () => this.part<ManagedOwnership>(Part.Ownership).handOver(limit.signal),
       () => this.part<CallerLimits>(Part.Limits).leave(),
-      () => this.part<Custody>(Part.Custody).leave(limit.signal),
+      () => this.part<Custody>(Part.Custody).handOverAll(limit.signal),
     ];
     for (const step of steps) {
       // What can't be handed over in time is taken over by waiting; the daemon still has to end.
--- a/packages/fleet/src/core/custody/computed.ts
+++ b/packages/fleet/src/core/custody/computed.ts
@@ -32,20 +32,20 @@
   return {
     buckets,
     bucketOf: (key) => hash32(key) % buckets,
-    holding: (bucket) => {
+    heldTerm: (bucket) => {
       const term = compute(bucket);
       return term?.backup.name === bus.self.name ? term : homeTerm(bucket);
     },
     homeTerm,
-    locate: (bucket) => compute(bucket)?.home.name,
-    hint: () => undefined,
-    carry: () => undefined,
-    possible: () => new Set(membership.hosts(HostRole.Entry).map((host) => host.name)),
+    likelyHome: (bucket) => compute(bucket)?.home.name,
+    recordHomeHint: () => undefined,
+    setCargo: () => undefined,
+    possibleDaemons: () => new Set(membership.hosts(HostRole.Entry).map((host) => host.name)),
     isStopped: (name, incarnation) => (membership.incarnationOf(name) ?? -Infinity) > incarnation,
     isFormed: () => true,
     status: () => ({ home: 0, backup: 0, handovers: 0, mayAct: true }),
     isSettled: () => true,
-    leave: () => Promise.resolve(),
+    handOverAll: () => Promise.resolve(),
     stop: () => Promise.resolve(),
   };
 }
--- a/packages/fleet/src/core/custody/custody.ts
+++ b/packages/fleet/src/core/custody/custody.ts
@@ -11,7 +11,7 @@
 import { isSameDaemon, DaemonTracker } from './daemon-tracker.js';
 import { HomeMap } from './home-map.js';
 import type { CustodianCandidate } from './daemon-tracker.js';
-import { DEFAULT_KEEPERS, pairOf } from './rendezvous.js';
+import { DEFAULT_MAX_CUSTODIANS, pairOf } from './rendezvous.js';
 import type { Custody, CustodyCargo, CustodyOptions, CustodyStatus, CustodyTerm } from './types.js';
 import type { CustodySection } from './wire.js';
 import { BYE, CEDE, CHECK, CLAIM, HAS, sectionSchema, TAKE } from './wire.js';
@@ -53,7 +53,11 @@
     this.buckets = options.buckets ?? DEFAULT_BUCKETS;
     this.states = Array.from({ length: this.buckets }, createBucketState);
     this.daemons = new DaemonTracker(options, (cause) => this.dropAll(cause));
-    this.homes = new HomeMap(this.buckets, options.membership, options.maxCustodians ?? DEFAULT_KEEPERS);
+    this.homes = new HomeMap(
+      this.buckets,
+      options.membership,
+      options.maxCustodians ?? DEFAULT_MAX_CUSTODIANS,
+    );
     this.handovers = new HandoverCoordinator(this);
     this.claims = new ClaimCoordinator(this);
     bus.handle(
@@ -83,32 +87,32 @@
     return hash32(key) % this.buckets;
   }
 
-  holding(bucket: number): CustodyTerm | undefined {
+  heldTerm(bucket: number): CustodyTerm | undefined {
     const { term, handover } = this.state(bucket);
     if (term === undefined || !this.daemons.mayAct()) return undefined;
     return handover === undefined || isSameTerm(handover.next, term) ? term : undefined;
   }
 
   homeTerm(bucket: number): CustodyTerm | undefined {
-    const term = this.holding(bucket);
+    const term = this.heldTerm(bucket);
     return term !== undefined && isSameDaemon(term.home, this.daemons.self) ? term : undefined;
   }
 
-  locate(bucket: number): string | undefined {
+  likelyHome(bucket: number): string | undefined {
     if (this.homeTerm(bucket) !== undefined) return this.options.bus.self.name;
     const { handover, passedTo } = this.state(bucket);
     return handover?.next.home.name ?? this.homes.likelyHome(bucket) ?? passedTo?.home.name;
   }
 
-  hint(bucket: number, home: string): void {
+  recordHomeHint(bucket: number, home: string): void {
     if (home !== this.options.bus.self.name) this.homes.addHint(bucket, home);
   }
 
-  carry(cargo: CustodyCargo): void {
+  setCargo(cargo: CustodyCargo): void {
     this.currentCargo = cargo;
   }
 
-  possible(): ReadonlySet<string> {
+  possibleDaemons(): ReadonlySet<string> {
     return this.daemons.possibleDaemons();
   }
 
@@ -139,7 +143,7 @@
     });
   }
 
-  async leave(signal: AbortSignal): Promise<void> {
+  async handOverAll(signal: AbortSignal): Promise<void> {
     const { timers, roundMs = DEFAULT_ROUND_MS } = this.options;
     this.shuttingDown = true;
     while (this.states.some((state) => standingTerm(state) !== undefined))
--- a/packages/fleet/src/core/custody/daemon-tracker.ts
+++ b/packages/fleet/src/core/custody/daemon-tracker.ts
@@ -3,7 +3,7 @@
 import { HostRole } from '@celeryyoke/platform';
 
 import type { Candidate } from './rendezvous.js';
-import { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
+import { chooseCustodians, DEFAULT_MAX_CUSTODIANS } from './rendezvous.js';
 import type { CustodyOptions, DaemonRef } from './types.js';
 
 const DEFAULT_ABSENT_AFTER_MS = 15_000;
@@ -166,7 +166,7 @@
     if (this.cachedChoice?.hosts === hosts && this.cachedChoice.withSelf === withSelf)
       return this.cachedChoice.custodians;
     const able = hosts.filter(({ name }) => membership.isLive(name) && (withSelf || name !== this.self.name));
-    const custodians = chooseKeepers(able, this.options.maxCustodians ?? DEFAULT_KEEPERS);
+    const custodians = chooseCustodians(able, this.options.maxCustodians ?? DEFAULT_MAX_CUSTODIANS);
     this.cachedChoice = { hosts, withSelf, custodians };
     this.pinCustodians(custodians);
     return custodians;
--- a/packages/fleet/src/core/custody/home-map.ts
+++ b/packages/fleet/src/core/custody/home-map.ts
@@ -2,7 +2,7 @@
 import { HostRole } from '@celeryyoke/platform';
 
 import type { Membership } from '../membership/index.js';
-import { chooseKeepers, pairOf } from './rendezvous.js';
+import { chooseCustodians, pairOf } from './rendezvous.js';
 
 const BITS_PER_BYTE = 8;
 
@@ -26,7 +26,7 @@
     if (hinted !== undefined && this.membership.isReachable(hinted)) return hinted;
     if (this.hasReportedHome(bucket)) return this.reportedHomes.get(bucket);
     const live = this.membership.hosts(HostRole.Entry).filter((host) => this.membership.isLive(host.name));
-    return pairOf(bucket, chooseKeepers(live, this.maxCustodians))?.home.name;
+    return pairOf(bucket, chooseCustodians(live, this.maxCustodians))?.home.name;
   }
 
   /** Whether a reachable peer has reported that it is the home. */
--- a/packages/fleet/src/core/custody/index.ts
+++ b/packages/fleet/src/core/custody/index.ts
@@ -2,7 +2,7 @@
 export { createCustody } from './custody.js';
 export { isSameTerm } from './bucket.js';
 export { createComputedCustody } from './computed.js';
-export { chooseKeepers, DEFAULT_KEEPERS } from './rendezvous.js';
+export { chooseCustodians, DEFAULT_MAX_CUSTODIANS } from './rendezvous.js';
 export type {
   Custody,
   CustodyCargo,
--- a/packages/fleet/src/core/custody/rendezvous.ts
+++ b/packages/fleet/src/core/custody/rendezvous.ts
@@ -2,7 +2,7 @@
 import { hash32 } from '@celeryyoke/core';
 
 /** Default of the greatest number of hosts that hold buckets. */
-export const DEFAULT_KEEPERS = 16;
+export const DEFAULT_MAX_CUSTODIANS = 16;
 
 /** A host that can hold buckets; the backup should be in another failure domain than the home. */
 export interface Candidate {
@@ -65,7 +65,7 @@
  * @param most - Greatest number of hosts to choose.
  * @returns The chosen hosts; all hosts of a small fleet.
  */
-export function chooseKeepers<T extends Candidate>(hosts: readonly T[], most: number): readonly T[] {
+export function chooseCustodians<T extends Candidate>(hosts: readonly T[], most: number): readonly T[] {
   if (hosts.length <= most) return hosts;
   const ranked = hosts.map((host) => ({ host, rank: hash32(host.name, CUSTODIAN_SEED) }));
   ranked.sort((left, right) => right.rank - left.rank || (left.host.name < right.host.name ? -1 : 1));
--- a/packages/fleet/src/core/custody/types.ts
+++ b/packages/fleet/src/core/custody/types.ts
@@ -50,17 +50,17 @@
   readonly buckets: number;
   bucketOf(key: string): number;
   /** The term that this daemon holds and may act on now, as home or backup. */
-  holding(bucket: number): CustodyTerm | undefined;
+  heldTerm(bucket: number): CustodyTerm | undefined;
   /** The term if this daemon is its home and may act on it now. */
   homeTerm(bucket: number): CustodyTerm | undefined;
   /** The daemon that is most likely the home. */
-  locate(bucket: number): string | undefined;
+  likelyHome(bucket: number): string | undefined;
   /** Records that a daemon named another one as the home. */
-  hint(bucket: number, home: string): void;
+  recordHomeHint(bucket: number, home: string): void;
   /** Sets the records that move with custody. */
-  carry(cargo: CustodyCargo): void;
+  setCargo(cargo: CustodyCargo): void;
   /** Names of all daemons that may still act, this one included. */
-  possible(): ReadonlySet<string>;
+  possibleDaemons(): ReadonlySet<string>;
   /** Whether a process can no longer act: it stopped, was replaced, or was off the host list for too long. */
   isStopped(name: string, incarnation: number): boolean;
   /** Whether any daemon is known to hold a bucket; false at the first start of a fleet. */
@@ -69,7 +69,7 @@
   /** Whether every bucket that this daemon should be the home of has its pair. */
   isSettled(): boolean;
   /** Hands over all buckets for a graceful shutdown; settles when none is held or the signal aborts. */
-  leave(signal: AbortSignal): Promise<void>;
+  handOverAll(signal: AbortSignal): Promise<void>;
   /** Stops the task, stops acting, and reports that to the peers. */
   stop(): Promise<void>;
 }
--- a/packages/fleet/src/core/engines/capability.ts
+++ b/packages/fleet/src/core/engines/capability.ts
@@ -42,7 +42,7 @@
   current(): Capability {
     const { engine, ownership, orders, timers, notBefore } = this.options;
     if (timers.now() < notBefore || this.isFenced()) return Capability.None;
-    if (ownership.mayGrant(engineResource(engine))) return Capability.Granting;
+    if (ownership.mayGrantSlotLeases(engineResource(engine))) return Capability.Granting;
     return orders.isAllowed(Authority.Additive) ? Capability.Loading : Capability.None;
   }
 
--- a/packages/fleet/src/core/engines/orders.ts
+++ b/packages/fleet/src/core/engines/orders.ts
@@ -60,8 +60,8 @@
     const { engine, client, ownership, timers } = this.options;
     if (!this.isAllowed(needed)) return undefined;
     const sentAt = timers.now();
-    const fencing = ownership.fencing(engineResource(engine));
-    const endTracking = ownership.orderBegan(engineResource(engine));
+    const fencing = ownership.fencingToken(engineResource(engine));
+    const endTracking = ownership.trackOrder(engineResource(engine));
     const result = client.order({ kind, subject, fencing, timeoutMs });
     this.audit(AuditKind.OrderSent, kind, subject, { fencing });
     return { sentAt, result: this.awaitResult(kind, subject, result, endTracking, timeoutMs) };
--- a/packages/fleet/src/core/engines/owner.ts
+++ b/packages/fleet/src/core/engines/owner.ts
@@ -370,7 +370,7 @@
     const { engine, ownership, timers } = this.options;
     const now = timers.now();
     const { report } = timed;
-    ownership.observeFencing(engineResource(engine.name), report.fencing);
+    ownership.observeFencingToken(engineResource(engine.name), report.fencing);
     this.presentFencingToken(report.role);
     const incarnationBefore = this.lastReport?.report.incarnation;
     this.lastReport = timed;
--- a/packages/fleet/src/core/keys/home.ts
+++ b/packages/fleet/src/core/keys/home.ts
@@ -51,7 +51,7 @@
     const { bucket } = want;
     const { custody } = this.options;
     const term = custody.homeTerm(bucket);
-    if (term === undefined) return { verdict: KeyVerdict.NotHome, home: custody.locate(bucket) };
+    if (term === undefined) return { verdict: KeyVerdict.NotHome, home: custody.likelyHome(bucket) };
     const refusal = this.judge(term, want);
     if (refusal !== undefined) return { verdict: refusal };
     this.serial += 1;
@@ -94,7 +94,7 @@
   write({ term, record }: WriteMessage): boolean {
     const { bucket } = term;
     const { custody } = this.options;
-    if (!isSameTerm(custody.holding(bucket), term)) return false;
+    if (!isSameTerm(custody.heldTerm(bucket), term)) return false;
     const known = this.store.get(bucket, record.key);
     if (known === undefined && this.store.isFull) return false;
     if (known !== undefined && isLater(known, record)) return false;
--- a/packages/fleet/src/core/keys/ledger.ts
+++ b/packages/fleet/src/core/keys/ledger.ts
@@ -66,7 +66,7 @@
     bus.handle(ADMIT, (want) => this.keeper.admit(want));
     bus.handle(SETTLE, (message) => this.keeper.settle(message));
     bus.handle(WRITE, async (message) => this.keeper.write(message));
-    custody.carry({
+    custody.setCargo({
       pack: (bucket) => this.pack(bucket),
       unpack: (bucket, part) => this.unpack(bucket, part),
       drop: (bucket) => this.store.drop(bucket),
@@ -99,13 +99,13 @@
   private async ask(want: AdmitMessage, signal: AbortSignal): Promise<KeyVerdict> {
     const { custody } = this.options;
     const asked = new Set<string>();
-    let home = custody.locate(want.bucket);
+    let home = custody.likelyHome(want.bucket);
     while (home !== undefined && !asked.has(home) && asked.size < MAX_HOPS) {
       asked.add(home);
       const answer = await this.askHome(home, want, signal);
       if (answer.verdict !== KeyVerdict.NotHome) return answer.verdict;
       home = answer.home;
-      if (home !== undefined) custody.hint(want.bucket, home);
+      if (home !== undefined) custody.recordHomeHint(want.bucket, home);
     }
     return KeyVerdict.NotHome;
   }
@@ -123,7 +123,7 @@
 
   private async settle({ bucket, key, token }: AdmitMessage, outcome: KeyOutcome): Promise<void> {
     const { bus, custody } = this.options;
-    const home = custody.locate(bucket);
+    const home = custody.likelyHome(bucket);
     if (home === undefined) return;
     try {
       await bus.call(home, SETTLE, { bucket, key, token, outcome }, { timeoutMs: this.callTimeoutMs });
--- a/packages/fleet/src/core/limits/bank.ts
+++ b/packages/fleet/src/core/limits/bank.ts
@@ -48,7 +48,7 @@
       await this.ensureSurveyed(bucket);
       const term = custody.homeTerm(bucket);
       const grant = term === undefined ? undefined : this.grant(term, item, seq, from);
-      if (grant === undefined) elsewhere.push({ caller: item.caller, home: custody.locate(bucket) });
+      if (grant === undefined) elsewhere.push({ caller: item.caller, home: custody.likelyHome(bucket) });
       else grants.push(grant);
     }
     return { grants, elsewhere };
@@ -83,7 +83,7 @@
 
   /** Whether it is known what every daemon holds that may hold anything. */
   private isComplete({ surveyed }: Branch): boolean {
-    return [...this.options.custody.possible()].every((name) => surveyed.has(name));
+    return [...this.options.custody.possibleDaemons()].every((name) => surveyed.has(name));
   }
 
   /** Asks everyone once for each term, and again those that did not answer. */
@@ -117,7 +117,7 @@
   private async survey(bucket: number, branch: Branch): Promise<void> {
     const { bus, custody, callTimeoutMs = DEFAULT_CALL_TIMEOUT_MS } = this.options;
     const timeoutMs = callTimeoutMs / EXCHANGE_OVER_SURVEY;
-    const missing = [...custody.possible()].filter((name) => !branch.surveyed.has(name));
+    const missing = [...custody.possibleDaemons()].filter((name) => !branch.surveyed.has(name));
     const asks = missing.map(async (name) => {
       try {
         const answer = await bus.call(name, SURVEY, { bucket, epoch: branch.epoch }, { timeoutMs });
--- a/packages/fleet/src/core/limits/exchange.ts
+++ b/packages/fleet/src/core/limits/exchange.ts
@@ -49,7 +49,7 @@
   async sendAll(): Promise<void> {
     const groups = new Map<string, CallerHolding[]>();
     for (const holding of this.holdings.values()) {
-      const home = this.options.custody.locate(this.bucketOf(holding));
+      const home = this.options.custody.likelyHome(this.bucketOf(holding));
       if (home === undefined || holding.exchange !== undefined) continue;
       const group = groups.get(home) ?? [];
       groups.set(home, group);
@@ -80,12 +80,12 @@
 
   private async talk(group: readonly CallerHolding[]): Promise<void> {
     const first = group[0];
-    const home = first === undefined ? undefined : this.options.custody.locate(this.bucketOf(first));
+    const home = first === undefined ? undefined : this.options.custody.likelyHome(this.bucketOf(first));
     if (home === undefined) return;
     const answer = await this.call(home, group);
     for (const { caller, home: other } of answer?.elsewhere ?? []) {
       if (other !== undefined && other !== home) {
-        this.options.custody.hint(this.options.custody.bucketOf(limitKeyOf(caller)), other);
+        this.options.custody.recordHomeHint(this.options.custody.bucketOf(limitKeyOf(caller)), other);
       }
     }
     for (const grant of answer?.grants ?? []) {
--- a/packages/fleet/src/core/ownership/bounds.ts
+++ b/packages/fleet/src/core/ownership/bounds.ts
@@ -32,7 +32,7 @@
  */
 export function takeOverBoundMs(times: OwnershipTimes): number {
   const span = authoritySpanMs(times);
-  return span + Math.max(addDriftMargin(times.removalMs, times.driftShare), span);
+  return span + Math.max(addDriftMargin(times.removalTimeoutMs, times.driftShare), span);
 }
 
 /**
@@ -52,5 +52,5 @@
  */
 export function claimBoundMs(times: OwnershipTimes): number {
   const leases = reportFreshMs(times) + times.reportLagMs + times.slotLeaseMs;
-  return addDriftMargin(Math.max(times.removalMs, leases), times.driftShare);
+  return addDriftMargin(Math.max(times.removalTimeoutMs, leases), times.driftShare);
 }
--- a/packages/fleet/src/core/ownership/ownership.ts
+++ b/packages/fleet/src/core/ownership/ownership.ts
@@ -114,18 +114,18 @@
     return this.actingTenure(resource)?.authority() ?? Authority.None;
   }
 
-  mayGrant(resource: string): boolean {
+  mayGrantSlotLeases(resource: string): boolean {
     return this.actingTenure(resource)?.mayGrantSlotLeases() ?? false;
   }
 
-  fencing(resource: string): number {
+  fencingToken(resource: string): number {
     const tenure = this.tenures.get(resource);
     return (
       tenure?.fencingToken() ?? nextFencingToken(this.observedTokens.get(resource) ?? 0, this.context.ownerId)
     );
   }
 
-  observeFencing(resource: string, token: number): void {
+  observeFencingToken(resource: string, token: number): void {
     this.observedTokens.set(resource, Math.max(token, this.observedTokens.get(resource) ?? 0));
     this.tenures.get(resource)?.observeFencingToken(token);
   }
@@ -134,7 +134,7 @@
     return this.actingTenure(resource)?.needsClaim() ?? false;
   }
 
-  orderBegan(resource: string): () => void {
+  trackOrder(resource: string): () => void {
     return this.relinquished.trackOrder(resource);
   }
 
@@ -302,7 +302,7 @@
   private handleRelease(peer: string, release: Release): void {
     const tenure = this.tenures.get(release.resource);
     if (tenure === undefined || this.departedAt !== undefined || !this.lease.isFresh()) return;
-    this.observeFencing(release.resource, release.fencing);
+    this.observeFencingToken(release.resource, release.fencing);
     tenure.markReleased();
     this.log.info(`Resource ${release.resource} was handed over by ${peer}.`);
     this.notifyChanges();
--- a/packages/fleet/src/core/ownership/settings.ts
+++ b/packages/fleet/src/core/ownership/settings.ts
@@ -5,7 +5,7 @@
 export const DEFAULT_OWNERSHIP_TIMES: OwnershipTimes = {
   leaseMs: 5_000,
   hostListLagMs: 3_000,
-  removalMs: 3_000,
+  removalTimeoutMs: 3_000,
   reportPollMs: 500,
   reportLagMs: 1_000,
   slotLeaseMs: 5_000,
--- a/packages/fleet/src/core/ownership/types.ts
+++ b/packages/fleet/src/core/ownership/types.ts
@@ -30,11 +30,11 @@
    * Whether slot leases on resident adapters may be granted at this moment: under full authority, and when
    * the host list is stale for most of the fleet, so that no other daemon can have become the owner.
    */
-  mayGrant(resource: string): boolean;
+  mayGrantSlotLeases(resource: string): boolean;
   /** Fencing token for orders about a resource. */
-  fencing(resource: string): number;
+  fencingToken(resource: string): number;
   /** Records the fencing token in a report or response of an engine; call it for each report. */
-  observeFencing(resource: string, token: number): void;
+  observeFencingToken(resource: string, token: number): void;
   /**
    * Whether the engine has not reported this owner's fencing token yet. Any order carries the token to the
    * engine; if there is none to send, use an order that sets the engine's current role.
@@ -44,7 +44,7 @@
    * Counts an order in flight; the resource is not handed over before it has ended.
    * @returns A function that marks the order as ended. An order whose outcome is unknown ends at its timeout.
    */
-  orderBegan(resource: string): () => void;
+  trackOrder(resource: string): () => void;
   /** Subscribes to changes of authority, gain and loss of ownership included. */
   subscribe(listener: (resource: string, authority: Authority) => void): () => void;
 }
@@ -72,7 +72,7 @@
   /** Greatest lag of the host list. */
   readonly hostListLagMs: number;
   /** Timeout of an order that removes something, including the time that it may need to arrive. */
-  readonly removalMs: number;
+  readonly removalTimeoutMs: number;
   /** Interval between reads of an engine's report. */
   readonly reportPollMs: number;
   /** Greatest lag of an engine's report. */
--- a/packages/fleet/test/custody.test.ts
+++ b/packages/fleet/test/custody.test.ts
@@ -287,7 +287,7 @@
   const key = fleet.makeKey();
   const homes = NAMES.filter((name) =>
     Array.from({ length: BUCKETS }, (_, bucket) => bucket).some(
-      (bucket) => fleet.daemons.get(name)!.custody.holding(bucket) !== undefined,
+      (bucket) => fleet.daemons.get(name)!.custody.heldTerm(bucket) !== undefined,
     ),
   );
   for (const name of NAMES) fleet.send(name, key, KeyOutcome.Done);
--- a/packages/fleet/test/leases/site.ts
+++ b/packages/fleet/test/leases/site.ts
@@ -101,15 +101,15 @@
   readonly ownership: Ownership = {
     ownerOf: (resource) => this.owners.get(resource),
     authority: (resource) => this.authority(resource),
-    fencing: (resource) => (this.firstFencing.get(resource) ?? 0) + 1,
-    observeFencing: (resource, fencing) => {
+    fencingToken: (resource) => (this.firstFencing.get(resource) ?? 0) + 1,
+    observeFencingToken: (resource, fencing) => {
       if (!this.firstFencing.has(resource)) this.firstFencing.set(resource, fencing);
       this.latestFencing = fencing;
     },
-    mayGrant: (resource) => this.authority(resource) === Authority.Full,
+    mayGrantSlotLeases: (resource) => this.authority(resource) === Authority.Full,
     needsClaim: (resource) =>
       this.requiresClaim && this.latestFencing <= (this.firstFencing.get(resource) ?? 0),
-    orderBegan: () => () => undefined,
+    trackOrder: () => () => undefined,
     subscribe: (listener) => this.subscribe(() => listener('', Authority.None)),
   };
 
--- a/packages/fleet/test/ownership.test.ts
+++ b/packages/fleet/test/ownership.test.ts
@@ -35,7 +35,7 @@
   t.is(claimBoundMs(TEST_TIMES), 300 + 100 + 500);
   t.is(Math.round(takeOverBoundMs(DEFAULT_OWNERSHIP_TIMES)), 16_323);
   t.is(Math.round(claimBoundMs(DEFAULT_OWNERSHIP_TIMES)), 8_162);
-  t.is(takeOverBoundMs({ ...TEST_TIMES, removalMs: 5_000 }), 1_600 + 5_000);
+  t.is(takeOverBoundMs({ ...TEST_TIMES, removalTimeoutMs: 5_000 }), 1_600 + 5_000);
 });
 
 test('owners are spread evenly, and one host more or less moves only its own resources', (t) => {
@@ -68,10 +68,10 @@
     () => b.ownership.authority(resource) === Authority.Additive,
   );
   t.true(added <= DETECTION_MS, `${added}`);
-  t.false(b.ownership.mayGrant(resource));
+  t.false(b.ownership.mayGrantSlotLeases(resource));
   const full = await simulatedMsUntil(net, others, () => b.ownership.authority(resource) === Authority.Full);
   t.true(full >= TAKE_OVER_BOUND_MS - DETECTION_MS && full <= TAKE_OVER_BOUND_MS + DETECTION_MS, `${full}`);
-  t.true(b.ownership.mayGrant(resource));
+  t.true(b.ownership.mayGrantSlotLeases(resource));
   const taken = b.audit.read().filter(({ kind }) => kind === AuditKind.OwnershipTaken);
   t.deepEqual(
     taken.map(({ subject, cause }) => ({ subject, cause })),
@@ -85,18 +85,18 @@
   const options = { resource, arbitration: Arbitration.Fenced };
   const [a, ...others] = await startOwners(net, ['a', 'b', 'c', 'd'], options);
   const [b] = others as [OwnerDaemon];
-  const old = a!.ownership.fencing(resource);
-  for (const { ownership } of others) ownership.observeFencing(resource, old);
+  const old = a!.ownership.fencingToken(resource);
+  for (const { ownership } of others) ownership.observeFencingToken(resource, old);
   net.leave('a');
   setLists(others, entries('b', 'c', 'd'));
   await simulatedMsUntil(net, others, () => b.ownership.authority(resource) === Authority.Additive);
   t.true(b.ownership.needsClaim(resource));
-  const mine = b.ownership.fencing(resource);
+  const mine = b.ownership.fencingToken(resource);
   t.true(mine > old);
-  t.is(b.ownership.fencing(resource), mine);
+  t.is(b.ownership.fencingToken(resource), mine);
   let passed = 0;
   for (; b.ownership.authority(resource) !== Authority.Full && passed < 10_000; passed += 50) {
-    b.ownership.observeFencing(resource, mine);
+    b.ownership.observeFencingToken(resource, mine);
     await advanceAll(net, others, 50, 50);
   }
   t.true(passed >= claimBoundMs(TEST_TIMES) && passed <= claimBoundMs(TEST_TIMES) + 100, `${passed}`);
@@ -104,7 +104,7 @@
   // The host list is stale for all daemons, but the engine still reports this owner's token.
   for (const { list } of others) list.isDown = true;
   await advanceAll(net, others, 5_000, 50);
-  b.ownership.observeFencing(resource, mine);
+  b.ownership.observeFencingToken(resource, mine);
   t.is(b.ownership.authority(resource), Authority.Full);
   await advanceAll(net, others, 400, 50);
   t.is(
@@ -113,12 +113,12 @@
     'without fresh reports a claim gives no full authority',
   );
   // Another daemon has claimed a greater token.
-  b.ownership.observeFencing(resource, mine * 2);
+  b.ownership.observeFencingToken(resource, mine * 2);
   t.is(b.ownership.authority(resource), Authority.None);
   for (const { list } of others) list.isDown = false;
   await advanceAll(net, others, 500, 50);
   t.is(b.ownership.authority(resource), Authority.Additive);
-  t.true(b.ownership.fencing(resource) > mine * 2);
+  t.true(b.ownership.fencingToken(resource) > mine * 2);
 });
 
 test('full authority ends when the configuration says that the engine ignores fencing tokens', async (t) => {
@@ -130,9 +130,9 @@
     resources: () => [{ name: resource, arbitration }],
   });
   await advanceAll(net, [a], 200, 50);
-  const mine = a.ownership.fencing(resource);
+  const mine = a.ownership.fencingToken(resource);
   for (let passed = 0; passed < 1_500; passed += 50) {
-    a.ownership.observeFencing(resource, mine);
+    a.ownership.observeFencingToken(resource, mine);
     await advanceAll(net, [a], 50, 50);
   }
   t.is(a.ownership.authority(resource), Authority.Full);
@@ -147,9 +147,9 @@
   const a = createOwnerDaemon(net, 'a', entries('a'), { resource });
   const b = createOwnerDaemon(net, 'b', entries('b'), { resource });
   await advanceAll(net, [a, b], 100, 50);
-  for (const { ownership } of [a, b]) ownership.observeFencing(resource, 7);
-  t.true(a.ownership.fencing(resource) > 7);
-  t.not(a.ownership.fencing(resource), b.ownership.fencing(resource));
+  for (const { ownership } of [a, b]) ownership.observeFencingToken(resource, 7);
+  t.true(a.ownership.fencingToken(resource) > 7);
+  t.not(a.ownership.fencingToken(resource), b.ownership.fencingToken(resource));
 });
 
 test('a new host that becomes the owner gets the resource once the last order has ended', async (t) => {
@@ -158,7 +158,7 @@
   const daemons = await startOwners(net, ['a', 'b', 'c'], { resource });
   const [a] = daemons as [OwnerDaemon];
   t.deepEqual(daemonsWithFullAuthority(daemons, resource), ['a']);
-  const ended = a.ownership.orderBegan(resource);
+  const ended = a.ownership.trackOrder(resource);
   const all = entries('a', 'b', 'c', 'n');
   const n = createOwnerDaemon(net, 'n', all, { resource });
   const fleet = [...daemons, n];
@@ -169,14 +169,14 @@
   const full = await simulatedMsUntil(net, fleet, () => daemonsWithFullAuthority(fleet, resource).length > 0);
   t.true(full <= 2 * TEST_TIMES.tickMs, `${full}`);
   t.deepEqual(daemonsWithFullAuthority(fleet, resource), ['n']);
-  t.true(n.ownership.fencing(resource) > a.ownership.fencing(resource) - 1);
+  t.true(n.ownership.fencingToken(resource) > a.ownership.fencingToken(resource) - 1);
 });
 
 test('a resource is released to one daemon only', async (t) => {
   const net = createMemoryPeerNet();
   const resource = resourceOwnedInOrder('n', 'm', 'a', 'b');
   const daemons = await startOwners(net, ['a', 'b'], { resource });
-  const ended = daemons[0]!.ownership.orderBegan(resource);
+  const ended = daemons[0]!.ownership.trackOrder(resource);
   const n = createOwnerDaemon(net, 'n', entries('a', 'b', 'n'), { resource });
   const m = createOwnerDaemon(net, 'm', entries('a', 'b', 'm'), { resource });
   const fleet = [...daemons, n, m];
@@ -247,12 +247,12 @@
   for (const { list } of daemons) list.isDown = true;
   await advanceAll(net, daemons, 20_000, 50);
   t.is(a.ownership.authority(resource), Authority.Additive);
-  t.true(a.ownership.mayGrant(resource));
+  t.true(a.ownership.mayGrantSlotLeases(resource));
   // Without two of seven, five still confirm the view, which is enough. Without three it is unconfirmed.
   net.leave('f');
   net.leave('g');
   await advanceAll(net, daemons.slice(0, 5), 1_000, 50);
-  t.true(a.ownership.mayGrant(resource));
+  t.true(a.ownership.mayGrantSlotLeases(resource));
   for (const { list } of daemons) list.isDown = false;
   await advanceAll(net, daemons.slice(0, 5), 500, 50);
   t.is(a.ownership.authority(resource), Authority.Full, 'nobody else can have become the owner');
@@ -261,7 +261,7 @@
   net.leave('e');
   await advanceAll(net, daemons.slice(0, 4), 1_000, 50);
   t.is(a.ownership.authority(resource), Authority.None);
-  t.false(a.ownership.mayGrant(resource));
+  t.false(a.ownership.mayGrantSlotLeases(resource));
   for (const { list } of daemons) list.isDown = false;
   await advanceAll(net, daemons.slice(0, 4), 500, 50);
   t.is(
@@ -291,9 +291,9 @@
   const e = daemons.find(({ name }) => name === 'e')!;
   for (let passed = 0; passed < 2 * TAKE_OVER_BOUND_MS; passed += 100) {
     await advanceAll(net, daemons, 100, 50);
-    t.false(a.ownership.mayGrant(resource) && e.ownership.mayGrant(resource));
+    t.false(a.ownership.mayGrantSlotLeases(resource) && e.ownership.mayGrantSlotLeases(resource));
   }
-  t.true(a.ownership.mayGrant(resource));
+  t.true(a.ownership.mayGrantSlotLeases(resource));
   t.is(e.ownership.authority(resource), Authority.Additive);
   net.unblockDirection();
   await advanceAll(net, daemons, 1_000, 50);
--- a/packages/fleet/test/support/owners.ts
+++ b/packages/fleet/test/support/owners.ts
@@ -11,7 +11,7 @@
 export const TEST_TIMES: OwnershipTimes = {
   leaseMs: 1_000,
   hostListLagMs: 600,
-  removalMs: 800,
+  removalTimeoutMs: 800,
   reportPollMs: 100,
   reportLagMs: 100,
   slotLeaseMs: 500,
--- a/packages/fleet/test/support/simulated-fleet.ts
+++ b/packages/fleet/test/support/simulated-fleet.ts
@@ -219,8 +219,8 @@
     const daemon = this.daemons.get(name)!;
     const sender = `${name}#${daemon.bus.self.incarnation}`;
     if (this.orders.some((order) => order.sender === sender)) return;
-    const ended = daemon.ownership.orderBegan(this.options.resource);
-    this.orders.push({ sender, completesAtMs: this.nowMs + TEST_TIMES.removalMs, markEnded: ended });
+    const ended = daemon.ownership.trackOrder(this.options.resource);
+    this.orders.push({ sender, completesAtMs: this.nowMs + TEST_TIMES.removalTimeoutMs, markEnded: ended });
   }
 
   private completeOrders(): void {
