--- a/packages/routing/src/core/daemon/in-flight-reporter.ts
+++ b/packages/routing/src/core/daemon/in-flight-reporter.ts
@@ -114,7 +114,7 @@
   private reportAll(): void {
     const { inFlight, leases, self } = this.options;
     const reports = new Map<string, ReportDraft>();
-    // An owner to which requests were reported must also learn that none are left.
+    // An owner that received reports of requests must also receive the report that none are left.
     for (const owner of this.informedOwners) addToReport(reports, owner, [], []);
     for (const replica of inFlight.ownReplicas()) {
       const owner = leases.leaseOf(replica)?.holder;
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -46,7 +46,7 @@
   seeds: readonly string[];
   /** Whether the daemon is shutting down. */
   isLeaving: boolean;
-  /** Readiness probes that were answered with 503 since the shutdown began. */
+  /** Number of readiness probes that got status 503 since the shutdown began. */
   failedProbes: number;
 }
 
@@ -98,33 +98,33 @@
       part(
         PART.cluster,
         [],
-        () => this.makeCluster(),
+        () => this.createCluster(),
         (cluster) => cluster.close(),
       ),
       part(
         PART.tree,
         [PART.cluster, PART.view, PART.residency],
-        (kernel) => this.makeTree(kernel),
+        (kernel) => this.createTree(kernel),
         (tree) => tree.stop(),
       ),
-      part(PART.share, [PART.cluster, PART.tree], (kernel) => this.makeShare(kernel)),
-      part(PART.settling, [PART.cluster, PART.tree], (kernel) => this.makeSettling(kernel)),
+      part(PART.share, [PART.cluster, PART.tree], (kernel) => this.createShare(kernel)),
+      part(PART.settling, [PART.cluster, PART.tree], (kernel) => this.createSettling(kernel)),
       part(
         PART.quotas,
         [PART.cluster, PART.tree, PART.share, PART.pauseDetector, PART.registry, PART.settling],
-        (kernel) => this.makeQuotas(kernel),
+        (kernel) => this.createQuotas(kernel),
         (quotas) => quotas.stop(),
       ),
       part(PART.limits, [PART.cluster, PART.tree, PART.share, PART.registry], (kernel) =>
-        this.makeLimits(kernel),
+        this.createLimits(kernel),
       ),
       part(
         PART.leases,
         [PART.cluster, PART.tree, PART.pauseDetector, PART.registry, PART.settling],
-        (kernel) => this.makeLeases(kernel),
+        (kernel) => this.createLeases(kernel),
         (leases) => leases.close(),
       ),
-      part(PART.leaseReviews, [PART.leases, PART.registry], startReviews(this.options), (timer) =>
+      part(PART.leaseReviews, [PART.leases, PART.registry], startLeaseReviews(this.options), (timer) =>
         timer.cancel(),
       ),
       part(
@@ -138,13 +138,13 @@
           PART.channels,
           PART.control,
         ],
-        (kernel) => this.makeLoader(kernel),
+        (kernel) => this.createLoader(kernel),
         (loader) => loader.close(),
       ),
       part(
         PART.reporter,
         [PART.cluster, PART.leases, PART.loader, PART.inFlight],
-        (kernel) => this.makeReporter(kernel),
+        (kernel) => this.createReporter(kernel),
         (reporter) => reporter.stop(),
       ),
       part(
@@ -160,13 +160,13 @@
           PART.inFlight,
           PART.reporter,
         ],
-        (kernel) => this.makeProtocol(kernel),
+        (kernel) => this.createProtocol(kernel),
         (protocol) => protocol.stop(),
       ),
       part(
         PART.admission,
         [PART.cluster, PART.leases, PART.registry, PART.loader, PART.reporter, PART.protocol, PART.inFlight],
-        (kernel) => this.makeAdmission(kernel),
+        (kernel) => this.createAdmission(kernel),
       ),
       part(
         PART.watcher,
@@ -193,7 +193,7 @@
           PART.cluster,
           PART.share,
         ],
-        (kernel) => this.startRequests(kernel),
+        (kernel) => this.startRequestServer(kernel),
         (requests) => requests.closeAllConnections(),
       ),
       part(
@@ -223,7 +223,7 @@
     ];
   }
 
-  private makeCluster(): Cluster {
+  private createCluster(): Cluster {
     const { settings, timers, log } = this.options;
     const address = addressOf(this.options);
     return new Cluster({
@@ -246,7 +246,7 @@
     if (!isOwn && (state !== before?.state || isNewIncarnation)) this.memberLog.record(record);
   }
 
-  private makeTree(kernel: ServiceFinder): DisseminationTree {
+  private createTree(kernel: ServiceFinder): DisseminationTree {
     const { timers, log } = this.options;
     const residency = kernel.get<ResidencyTable>(PART.residency);
     return new DisseminationTree({
@@ -260,7 +260,7 @@
     });
   }
 
-  private makeReporter(kernel: ServiceFinder): InFlightReporter {
+  private createReporter(kernel: ServiceFinder): InFlightReporter {
     return new InFlightReporter({
       self: addressOf(this.options),
       cluster: kernel.get(PART.cluster),
@@ -271,7 +271,7 @@
     });
   }
 
-  private makeProtocol(kernel: ServiceFinder): PeerProtocol {
+  private createProtocol(kernel: ServiceFinder): PeerProtocol {
     return new PeerProtocol({
       cluster: kernel.get(PART.cluster),
       tree: kernel.get(PART.tree),
@@ -285,7 +285,7 @@
     });
   }
 
-  private makeAdmission(kernel: ServiceFinder): PromptAdmission {
+  private createAdmission(kernel: ServiceFinder): PromptAdmission {
     const { timers, log } = this.options;
     const reporter = kernel.get<InFlightReporter>(PART.reporter);
     const protocol = kernel.get<PeerProtocol>(PART.protocol);
@@ -305,7 +305,7 @@
     });
   }
 
-  private makeShare(kernel: ServiceFinder): FleetShare {
+  private createShare(kernel: ServiceFinder): FleetShare {
     const { settings, timers } = this.options;
     return new FleetShare({
       self: addressOf(this.options),
@@ -318,7 +318,7 @@
     });
   }
 
-  private makeSettling(kernel: ServiceFinder): FleetSettling {
+  private createSettling(kernel: ServiceFinder): FleetSettling {
     const cluster = kernel.get<Cluster>(PART.cluster);
     const tree = kernel.get<DisseminationTree>(PART.tree);
     return new FleetSettling({
@@ -328,7 +328,7 @@
     });
   }
 
-  private makeQuotas(kernel: ServiceFinder): AccountQuotas {
+  private createQuotas(kernel: ServiceFinder): AccountQuotas {
     const { settings, timers, log } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
     const pauses = kernel.get<PauseDetector>(PART.pauseDetector);
@@ -348,7 +348,7 @@
     });
   }
 
-  private makeLimits(kernel: ServiceFinder): ReplicaLimits {
+  private createLimits(kernel: ServiceFinder): ReplicaLimits {
     const { timers, log } = this.options;
     return new ReplicaLimits({
       self: addressOf(this.options),
@@ -369,7 +369,7 @@
     return hasRecentMessages && this.get<DisseminationTree>(PART.tree).rootBatchAgeMs < MAX_FLEET_VIEW_AGE_MS;
   }
 
-  private makeLeases(kernel: ServiceFinder): EngineLeases {
+  private createLeases(kernel: ServiceFinder): EngineLeases {
     const { settings, timers, log } = this.options;
     const cluster = kernel.get<Cluster>(PART.cluster);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
@@ -408,7 +408,7 @@
     return leases;
   }
 
-  private makeLoader(kernel: ServiceFinder): AdapterLoader {
+  private createLoader(kernel: ServiceFinder): AdapterLoader {
     const { timers, log } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
     const loader = new AdapterLoader({
@@ -464,7 +464,7 @@
           isReachable ? 'The platform is reachable again.' : `The platform is unreachable: ${reason}.`,
         ),
       onTakeOver: ({ rank, ageMs }) =>
-        log.decide('view.take-over', 'Took over reading from the platform.', {
+        log.decide('view.take-over', 'Started to read the platform’s records for the fleet.', {
           rank,
           viewAgeMs: roundAge(ageMs),
           revision: view.upTo,
@@ -475,7 +475,7 @@
     return watcher;
   }
 
-  private async startRequests(kernel: ServiceFinder): Promise<RequestServer> {
+  private async startRequestServer(kernel: ServiceFinder): Promise<RequestServer> {
     const { settings, timers, log, dialect } = this.options;
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
     const residency = kernel.get<ResidencyTable>(PART.residency);
@@ -615,7 +615,10 @@
   return `${host}:${peerPort}`;
 }
 
-/** Wraps a part of the daemon as a service of the kernel, which passes the started value to `stop`. */
+/**
+ * Wraps a part of the daemon as a service of the kernel.
+ * @param stop - Called with the value that `start` returned; not called when the part never started.
+ */
 function part<T>(
   name: string,
   needs: readonly string[],
@@ -637,7 +640,7 @@
 }
 
 /** Returns the start function of a timer that reviews the leases at an interval. */
-function startReviews({ timers }: RouterOptions): (kernel: ServiceFinder) => TimerHandle {
+function startLeaseReviews({ timers }: RouterOptions): (kernel: ServiceFinder) => TimerHandle {
   return (kernel) => {
     const leases = kernel.get<EngineLeases>(PART.leases);
     const registry = kernel.get<ReplicaRegistry>(PART.registry);
