--- a/packages/routing/src/core/adapters/engine-owner.ts
+++ b/packages/routing/src/core/adapters/engine-owner.ts
@@ -97,7 +97,7 @@
     this.startLoads();
   }
 
-  /** Gives up the engine; waiting requests are rejected and have to ask its next owner. */
+  /** Stops managing the engine; waiting requests are rejected and have to ask its next owner. */
   stop(): void {
     this.isStopped = true;
     this.session.end();
@@ -134,7 +134,7 @@
 
   /**
    * Orders an adapter again that the table lists as resident but a request did not find. An engine that holds
-   * the adapter says so immediately; otherwise it loads it into the same slot.
+   * the adapter responds immediately that the load is done; otherwise it loads it into the same slot.
    */
   private reload(ref: AdapterRef): Promise<void> {
     const pending = this.queue.add(ref);
@@ -392,7 +392,7 @@
     return this.session.context.slots;
   }
 
-  /** Number of adapters that the engine can hold. */
+  /** Number of slots: the adapters that the engine can hold at once. */
   private get capacity(): number {
     return adapterCapacity(this.options.engine, this.session.models);
   }
--- a/packages/routing/src/core/adapters/types.ts
+++ b/packages/routing/src/core/adapters/types.ts
@@ -3,7 +3,7 @@
  */
 import type { ResidentModel, ReplicaEntry } from '../view/index.js';
 
-/** What an order tells the engine to do. */
+/** Operation that an order requests from the engine. */
 export enum OrderKind {
   Load = 'load',
   Unload = 'unload',
--- a/packages/routing/src/core/adapters/unloader.ts
+++ b/packages/routing/src/core/adapters/unloader.ts
@@ -7,8 +7,8 @@
 import { OrderKind, OrderOutcome } from './types.js';
 
 /**
- * Time for other daemons to learn that an adapter is withdrawn and for the requests they sent before to
- * become known here, in milliseconds: a few one-way delays between failure domains.
+ * Time until the other daemons have received the withdrawal of an adapter and the requests that they sent
+ * before have been reported here, in milliseconds: a few one-way delays between failure domains.
  */
 const WITHDRAWAL_PROPAGATION_MS = 6;
 /**
