--- a/packages/routing/src/core/budget/index.ts
+++ b/packages/routing/src/core/budget/index.ts
@@ -1,4 +1,4 @@
-/** Budget of retries, and the sliding sum that it counts with. */
+/** Retry budget of a service, and the sliding sum that it counts with. */
 export type { BudgetBounds, RetryBudgetOptions } from './budget.js';
 export { RetryBudget } from './budget.js';
 export { RetryPermit } from './permit.js';
--- a/packages/routing/src/core/choice/replica-health.ts
+++ b/packages/routing/src/core/choice/replica-health.ts
@@ -34,7 +34,7 @@
   since: number;
 }
 
-/** Health of all replicas; one that is not known counts as sound. */
+/** Health of all replicas; one that is not known counts as healthy. */
 export class ReplicaHealth {
   private readonly records = new Map<string, HealthRecord>();
 
--- a/packages/routing/src/core/cluster/cluster.ts
+++ b/packages/routing/src/core/cluster/cluster.ts
@@ -433,7 +433,7 @@
   }
 
   /**
-   * Updates the state of the peer by the way in which a link ended. The end of an established link shows
+   * Updates the state of the peer according to how a link ended. The end of an established link shows
    * little, as connections between living daemons are reset too: dialling again shows whether the process
    * still runs.
    */
--- a/packages/routing/src/core/dissemination/tree.ts
+++ b/packages/routing/src/core/dissemination/tree.ts
@@ -104,7 +104,7 @@
   /** Members that failed as a parent, with the monotonic time until which they are not chosen. */
   private readonly excludedUntil = new Map<string, number>();
 
-  /** The daemon that this one subscribes to; undefined for the root, and while a parent is sought. */
+  /** The daemon that this one subscribes to; undefined for the root, and until a parent is found. */
   private parent: string | undefined;
 
   private parentClock = new ParentClock();
@@ -430,7 +430,7 @@
     this.detach();
   }
 
-  /** Whether this daemon keeps a working position for now although the membership assigns it another one. */
+  /** Whether this daemon still keeps a working position although the membership assigns it another one. */
   private keepsPosition(now: number): boolean {
     if (this.isRoot && this.subscriberCount === 0) return false;
     if (!this.isRoot && this.parent === undefined) return false;
--- a/packages/routing/src/core/limits/send-pacer.ts
+++ b/packages/routing/src/core/limits/send-pacer.ts
@@ -11,7 +11,7 @@
   private nextAt: number;
 
   /**
-   * Refusals since the last grant; each refused sender is told to retry one interval after the one before.
+   * Refusals since the last grant; each refused sender is asked to retry one interval after the one before.
    */
   private refusals = 0;
 
--- a/packages/routing/src/core/ownership/fleet-settling.ts
+++ b/packages/routing/src/core/ownership/fleet-settling.ts
@@ -1,4 +1,4 @@
-/** Tells when a daemon that has started knows the fleet well enough to decide what is assigned to it. */
+/** Determines when a daemon that has started knows the fleet well enough to decide what is assigned to it. */
 import type { TimerService } from '@celeryyoke/core';
 
 /** Shortest time after the start, in milliseconds; connections to the seeds are established by then. */
--- a/packages/routing/src/core/ownership/pause-detector.ts
+++ b/packages/routing/src/core/ownership/pause-detector.ts
@@ -10,7 +10,7 @@
  * it.
  */
 const PAUSE_THRESHOLD_MS = 350;
-/** Time after a pause until peers have been heard again, in milliseconds: two heartbeats. */
+/** Time after a pause until messages from peers have arrived again, in milliseconds: two heartbeats. */
 const RECOVERY_MS = 500;
 
 /**
--- a/packages/routing/src/core/pacing/prompt-pacer.ts
+++ b/packages/routing/src/core/pacing/prompt-pacer.ts
@@ -14,7 +14,7 @@
 
 /**
  * Share of the longest allowed gap that may go to prefill. The rest is for the streams' own tokens and for
- * what the owner learns late.
+ * what is reported to the owner late.
  */
 const PREFILL_SHARE = 0.85;
 /** Time constant with which the engine's prefill load decays. */
--- a/packages/routing/src/core/pacing/types.ts
+++ b/packages/routing/src/core/pacing/types.ts
@@ -5,7 +5,7 @@
 export interface PrefillSample {
   /** Tokens of the prompt. */
   readonly tokens: number;
-  /** Time from the send to the first event, in milliseconds. */
+  /** Time from sending the request to the first event, in milliseconds. */
   readonly ms: number;
 }
 
--- a/packages/routing/src/core/view/registry.ts
+++ b/packages/routing/src/core/view/registry.ts
@@ -173,7 +173,7 @@
   private applyReplica(key: string, received: ReplicaEntry): void {
     const entry = this.withLatestStart(received);
     if (entry === undefined) return;
-    // All state of an earlier incarnation is void, so listeners are told that it was removed.
+    // All state of an earlier incarnation is void, so listeners are notified of its removal.
     const knownId = this.idOfKey.get(key);
     if (knownId !== undefined && knownId !== entry.id) this.removeReplica(key);
     const before = this.replicas.get(entry.id);
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests described by their headers, routed by kind to replicas; a fleet that finds itself from seeds. */
+/** Routes requests to replicas, and replicates the state that the daemons of a fleet share for that. */
 export * from './core/accounts/index.js';
 export * from './core/adapters/index.js';
 export * from './core/ownership/index.js';
