--- a/packages/routing/test/limits/limits.test.ts
+++ b/packages/routing/test/limits/limits.test.ts
@@ -132,7 +132,7 @@
   }
 });
 
-test('refused senders are told to retry one after the other', (t) => {
+test('refused senders are asked to retry one after the other', (t) => {
   const pacer = new SendPacer(10, 0);
   const waits = [1, 2, 3].map(() => pacer.tryAcquire(10, 0).waitMs);
   t.deepEqual(waits, [100, 200, 300]);
--- a/packages/routing/test/orders/scenario.ts
+++ b/packages/routing/test/orders/scenario.ts
@@ -43,9 +43,9 @@
   readonly ownerChangeIntervalMs: number;
   readonly restartIntervalMs: number;
   readonly versionIntervalMs: number;
-  /** Longest time until a previous owner learns of its successor. */
+  /** Longest time for which a previous owner keeps its lease after a change of owner. */
   readonly maxOwnerOverlapMs: number;
-  /** Longest time until an owner learns of a running request or a new version. */
+  /** Longest time until a running request or a new version is reported to an owner. */
   readonly maxReportLagMs: number;
   /** Share of the calls affected by a connection fault. */
   readonly faultShare: number;
