--- a/packages/soak/src/core/callers/balancer.ts
+++ b/packages/soak/src/core/callers/balancer.ts
@@ -5,7 +5,7 @@
 import type { DaemonAddress } from '../site/index.js';
 
 const ASK_MS = 1000;
-/** Answers other than 200 in a row after which a daemon gets no new requests. */
+/** Consecutive responses other than 200 after which a daemon gets no new requests. */
 const MISSES = 2;
 const OK = 200;
 
--- a/packages/soak/src/core/callers/callers.ts
+++ b/packages/soak/src/core/callers/callers.ts
@@ -17,7 +17,7 @@
 /** What a caller got. */
 export enum CallerOutcome {
   Served = 'served',
-  /** An answer that promises that the request did not run and never will. */
+  /** A response that promises that the request did not run and never will. */
   Refused = 'refused',
   Failed = 'failed',
 }
@@ -29,7 +29,7 @@
   /** Unix milliseconds. */
   readonly sentAt: number;
   outcome: CallerOutcome | undefined;
-  /** Status of the answer; undefined when there was none. */
+  /** Status of the response; undefined when there was none. */
   status: number | undefined;
 }
 
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Sends no more, and waits for what is under way. */
+  /** Stops sending, and waits for the requests in flight. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await Promise.all(this.open);
--- a/packages/soak/src/core/checks/checks.ts
+++ b/packages/soak/src/core/checks/checks.ts
@@ -7,13 +7,13 @@
 import type { Arrival } from '../replicas/index.js';
 import { ENGINE_SERVICE, PLAIN_SERVICE, REPEAT_BOUNDS } from '../site/index.js';
 
-/** What a run showed of the repeats of one service. */
+/** What a run showed of the retries of one service. */
 export interface RepeatFigures {
   readonly service: string;
   readonly requests: number;
   readonly arrivals: number;
   readonly repeats: number;
-  /** The window with the most repeats beyond what is allowed, or the fewest below; undefined without any repeat. */
+  /** The window with the most retries beyond what is allowed, or the fewest below; undefined without any retry. */
   readonly worst: RetryWindow | undefined;
   /** Windows beyond what is allowed that do not overlap. */
   readonly violations: readonly RetryWindow[];
--- a/packages/soak/src/core/plan/plan.ts
+++ b/packages/soak/src/core/plan/plan.ts
@@ -15,7 +15,7 @@
 const SETTLE_MS = 3000;
 /** Few adapters are resident on many engines, many on one or none. */
 const ADAPTERS = [50, 300, 2000] as const;
-/** Kinds that make callers' requests fail, so that daemons ask for repeats. */
+/** Kinds that make callers' requests fail, so that daemons reserve retries. */
 const FAILURES = [FaultKind.Shed, FaultKind.Errors, FaultKind.Reset, FaultKind.Hang] as const;
 /** Mean time between two faults, in seconds. */
 const SECONDS_PER_FAULT = 4;
--- a/packages/soak/src/core/plan/types.ts
+++ b/packages/soak/src/core/plan/types.ts
@@ -8,17 +8,17 @@
   Errors = 'errors',
   /** Replicas reset the connections of most of their requests. */
   Reset = 'reset',
-  /** Replicas never answer most of their requests. */
+  /** Replicas never respond to most of their requests. */
   Hang = 'hang',
-  /** What daemons send to replicas waits on the way until the fault ends. */
+  /** What daemons send to replicas is held up on the path until the fault ends. */
   HoldWay = 'hold-way',
-  /** Replicas take orders and answer them only when the fault ends. */
+  /** Replicas accept orders and respond to them only when the fault ends. */
   HoldOrders = 'hold-orders',
   /** Processes of replicas are stopped and go on. */
   FreezeReplicas = 'freeze-replicas',
   /** Daemons are killed, and start again when the fault ends. */
   KillDaemons = 'kill-daemons',
-  /** Daemons are told to shut down, and start again when the fault ends. */
+  /** Daemons are signalled to shut down, and are restarted when the fault ends. */
   TermDaemons = 'term-daemons',
   /** Daemons are stopped and go on. */
   FreezeDaemons = 'freeze-daemons',
--- a/packages/soak/src/core/replicas/fleet.ts
+++ b/packages/soak/src/core/replicas/fleet.ts
@@ -60,7 +60,7 @@
     this.command((own) => ({ type: 'behave', ids: own.filter((id) => ids.includes(id)), behaviour }));
   }
 
-  /** Holds up the way to some replicas, or opens it again. */
+  /** Holds up the path to some replicas, or reopens it. */
   hold(ids: readonly string[], what: Holdable, isHeld: boolean): void {
     this.command((own) => ({ type: 'hold', ids: own.filter((id) => ids.includes(id)), what, isHeld }));
   }
--- a/packages/soak/src/core/replicas/main.ts
+++ b/packages/soak/src/core/replicas/main.ts
@@ -4,7 +4,7 @@
 import type { Arrival, ReplicaCommand, ReplicaNews, ReplicaOptions } from './messages.js';
 import { SoakReplica } from './replica.js';
 
-/** Interval at which arrivals are told, in milliseconds. */
+/** Interval at which arrivals are reported, in milliseconds. */
 const TELL_MS = 200;
 
 const replicas = new Map<string, SoakReplica>();
--- a/packages/soak/src/core/replicas/messages.ts
+++ b/packages/soak/src/core/replicas/messages.ts
@@ -9,7 +9,7 @@
   Hang = 'hang',
 }
 
-/** What can be held up on its way to a replica. */
+/** What can be held up on its path to a replica. */
 export enum Holdable {
   Everything = 'everything',
   Orders = 'orders',
@@ -45,7 +45,7 @@
   readonly hasRun: boolean;
 }
 
-/** What a process of replicas tells. */
+/** Message from a process of replicas. */
 export type ReplicaNews =
   | { readonly type: 'started'; readonly ports: readonly (readonly [id: string, port: number])[] }
   | { readonly type: 'arrivals'; readonly arrivals: readonly Arrival[] };
--- a/packages/soak/src/core/replicas/replica.ts
+++ b/packages/soak/src/core/replicas/replica.ts
@@ -1,4 +1,6 @@
-/** One replica: reads requests when their way is open, answers as it is told to, and notes what arrived. */
+/**
+ * One replica: reads requests while their path is open, responds as its faults require, and records arrivals.
+ */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 
@@ -31,7 +33,7 @@
 
 /** Bytes of one connection that the replica has not read yet. */
 class Connection {
-  /** What came while the way was held up. */
+  /** What arrived while the path was held up. */
   private held: string[] = [];
 
   private unread = '';
--- a/packages/soak/src/core/site/site.ts
+++ b/packages/soak/src/core/site/site.ts
@@ -1,4 +1,7 @@
-/** What the platform tells daemons of a run: the configuration, the replicas, and the settings of a process. */
+/**
+ * What the platform supplies to the daemons of a run: the configuration, the replicas, and the settings of a
+ * process.
+ */
 import { MODEL_NAME, StoreStandIn } from '@celeryyoke/adapter/testing';
 import type { RetryBounds } from '@celeryyoke/routing/testing';
 
@@ -22,7 +25,7 @@
 export const PLAIN_SERVICE = 'web';
 export const ENGINE_SLOTS = 16;
 export const PLAIN_SLOTS = 40;
-/** What is allowed of repeats, for each service. */
+/** Allowed retries of each service. */
 export const REPEAT_BOUNDS: RetryBounds = { ratio: 0.2, windowMs: 10_000, slack: 196 };
 /** Time for a graceful shutdown, in seconds. */
 export const GRACE_S = 8;
--- a/packages/soak/test/checks.test.ts
+++ b/packages/soak/test/checks.test.ts
@@ -29,7 +29,7 @@
   return { request: id, replica: 'p-0', at: sentAt + laterMs, hasRun };
 }
 
-test('a run without repeats is clean', (t) => {
+test('a run without retries is clean', (t) => {
   const attempts = served('unsafe');
   t.true(
     isClean(
@@ -41,7 +41,7 @@
   );
 });
 
-test('repeats beyond the allowance of a window are found', (t) => {
+test('retries beyond the allowance of a window are found', (t) => {
   const attempts = served('safe');
   const first = attempts.map((attempt) => arrivalOf(attempt));
   const inWindow = REPEAT_BOUNDS.windowMs / INTERVAL_MS;
