--- a/packages/routing/src/core/choice/in-flight.ts
+++ b/packages/routing/src/core/choice/in-flight.ts
@@ -8,7 +8,7 @@
  */
 import type { TimerService } from '@celeryyoke/core';
 
-/** Age at which a peer's report no longer counts: several intervals of whole reports. */
+/** Age at which a peer's report no longer counts: several intervals of full reports. */
 const STALE_REPORT_MS = 3500;
 /** Age at which a sum that an owner published no longer counts. */
 const STALE_TOTAL_MS = 2500;
@@ -131,7 +131,7 @@
   }
 
   /**
-   * Merges a peer's report on engines that this daemon owns; a whole one replaces the earlier ones.
+   * Merges a peer's report on engines that this daemon owns; a full one replaces the earlier ones.
    * @param peer - Address of the peer.
    */
   mergeReport(peer: string, { isWhole, replicas, adapters }: InFlightReport): void {
--- a/packages/routing/src/core/view/replicated-store.ts
+++ b/packages/routing/src/core/view/replicated-store.ts
@@ -24,7 +24,7 @@
 
 /** The merged records, and a log of recent changes from which deltas for peers are made. */
 export class ReplicatedStore {
-  /** Revision up to which this copy is complete; 0 before the first whole delta. */
+  /** Revision up to which this copy is complete; 0 before the first full delta. */
   upTo = 0;
 
   /** Number of changes since the process start that must be published to peers. */
@@ -68,7 +68,7 @@
 
   /**
    * Merges a delta from the store or a peer.
-   * @returns Whether the delta could be applied; if not, changes before it are missing and a whole delta is
+   * @returns Whether the delta could be applied; if not, changes before it are missing and a full delta is
    * needed.
    */
   apply(delta: Delta): boolean {
@@ -107,7 +107,7 @@
     for (const listener of this.listeners) listener(change);
   }
 
-  /** Removes the records that a whole delta does not contain, unless they were changed after its revision. */
+  /** Removes the records that a full delta does not contain, unless they were changed after its revision. */
   private removeMissing(delta: Delta): void {
     const present = new Set(delta.changes.map(({ key }) => key));
     for (const [key, { revision, record }] of this.stored) {
@@ -132,7 +132,7 @@
 
 /**
  * Whether a change must be published to peers. A replica writes its entry about once a second; the adapters
- * in it need not be published, as the owner of the engine publishes them sooner, and whole deltas contain
+ * in it need not be published, as the owner of the engine publishes them sooner, and full deltas contain
  * them.
  */
 function mustPublish(before: ViewRecord | undefined, after: ViewRecord | undefined): boolean {
--- a/packages/routing/src/core/view/types.ts
+++ b/packages/routing/src/core/view/types.ts
@@ -101,7 +101,7 @@
 
 /** Source of the records: the platform's store, or a stand-in in tests. */
 export interface RecordSource {
-  /** Reads all records; returns a whole delta. */
+  /** Reads all records; returns a full delta. */
   list(signal: AbortSignal): Promise<Delta>;
   /**
    * Waits for changes.
--- a/packages/routing/test/in-flight.test.ts
+++ b/packages/routing/test/in-flight.test.ts
@@ -166,15 +166,15 @@
   t.deepEqual(sent, []);
 });
 
-test('an owner gets whole reports periodically, and a last one when no request is left', async (t) => {
+test('an owner gets full reports periodically, and a last one when no request is left', async (t) => {
   const { timers, inFlight, sent } = makeReporter('b');
   const handle = inFlight.begin('e', KEY);
   await timers.advance(1010);
   t.deepEqual(sent.at(-1)!.report, report([onReplica(1, 1)], [onAdapter(KEY, 1)]));
   handle.requestEnded();
   await timers.advance(2000);
-  const wholes = sent.filter((message) => message.report.isWhole);
-  t.deepEqual(wholes.at(-1)!.report, report([], []));
+  const fullReports = sent.filter((message) => message.report.isWhole);
+  t.deepEqual(fullReports.at(-1)!.report, report([], []));
   const count = sent.length;
   await timers.advance(3000);
   t.is(sent.length, count);
--- a/packages/routing/test/replicated-store.test.ts
+++ b/packages/routing/test/replicated-store.test.ts
@@ -25,7 +25,7 @@
   return { from, upTo, isWhole: false, changes };
 }
 
-test('a delta that starts after the known revision is refused until a whole delta was applied', (t) => {
+test('a delta that starts after the known revision is refused until a full delta was applied', (t) => {
   const view = new ReplicatedStore(createManualTimers());
   t.false(view.apply(delta(3, 5)));
   t.true(view.apply(whole(5, replica('a', 4))));
@@ -34,7 +34,7 @@
   t.is(view.upTo, 6);
 });
 
-test('an older delta has no effect, whole or not', (t) => {
+test('an older delta has no effect, full or not', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
@@ -45,7 +45,7 @@
   t.is(view.upTo, 9);
 });
 
-test('records missing from a newer whole delta are removed', (t) => {
+test('records missing from a newer full delta are removed', (t) => {
   const timers = createManualTimers();
   const view = new ReplicatedStore(timers);
   const registry = new ReplicaRegistry(view, timers);
@@ -55,7 +55,7 @@
   t.not(registry.replica('b'), undefined);
 });
 
-test('a lagging copy gets the changes it lacks, and a whole delta if it lags too far', (t) => {
+test('a lagging copy gets the changes it lacks, and a full delta if it lags too far', (t) => {
   const view = new ReplicatedStore(createManualTimers());
   view.apply(whole(5, replica('a', 5)));
   view.apply(delta(5, 6, replica('b', 6)));
@@ -161,7 +161,7 @@
   t.false(registry.recordStart({ name: 'a', bornAt: 1500 }));
 });
 
-test('a change of resident adapters alone is not published, and is contained in a whole delta', (t) => {
+test('a change of resident adapters alone is not published, and is contained in a full delta', (t) => {
   const view = new ReplicatedStore(createManualTimers());
   const withAdapters = (revision: number, ...names: string[]): Change => {
     const adapters = names.map((name) => ({ name, version: 1 }));
