--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -464,7 +464,7 @@
           isReachable ? 'The platform is reachable again.' : `The platform is unreachable: ${reason}.`,
         ),
       onTakeOver: ({ rank, ageMs }) =>
-        log.decide('view.take-over', 'Started to read the platform’s records for the fleet.', {
+        log.decide('view.take-over', 'Took over reading the platform’s records for the fleet.', {
           rank,
           viewAgeMs: roundAge(ageMs),
           revision: view.upTo,
