--- a/packages/routing/src/core/requests/execution.ts
+++ b/packages/routing/src/core/requests/execution.ts
@@ -27,7 +27,7 @@
 import { StreamRelay } from './relay.js';
 import { Attempt } from './attempt.js';
 
-import type { BufferedResponse, RequestDialect, RequestHead, AttemptResult } from './types.js';
+import type { ReplicaResponse, RequestDialect, RequestHead, AttemptResult } from './types.js';
 import { AttemptOutcome, requestTimeoutMs } from './types.js';
 
 /** Time after which a refused caller may retry, in milliseconds. */
@@ -37,7 +37,9 @@
  * time.
  */
 const GENERATION_RETRY_AFTER_MS = 600;
-/** Share of the time left after which a refused generation may retry: callers wait a third of it at most. */
+/**
+ * Share of the remaining time after which a refused generation may retry: callers wait a third of it at most.
+ */
 const RETRY_AFTER_SHARE = 0.3;
 /** Largest number of attempts of one request that are refused without having run. */
 const MAX_REFUSALS = 4;
@@ -57,16 +59,16 @@
   readonly pool: ChannelPool;
   readonly inFlight: InFlightTable;
   readonly health: ReplicaHealth;
-  readonly migrations: StreamMigrator;
+  readonly migrator: StreamMigrator;
   readonly admission: PromptAdmission;
   readonly limits: ReplicaLimits;
-  /** Notes that an adapter is not resident on an engine. */
-  readonly noteNotResident: (replica: string, key: string) => void;
+  /** Records that an adapter is not resident on an engine. */
+  readonly markAbsent: (replica: string, key: string) => void;
   /** Age of this daemon's view of the platform, in milliseconds. */
   readonly viewAgeMs: () => number;
   readonly quotas: AccountQuotas;
   readonly accountMetrics: AccountMetrics;
-  /** This daemon's part of the allowances of the whole fleet, from 0 to 1. */
+  /** This daemon's share of the fleet-wide allowances, from 0 to 1. */
   readonly fleetShare: () => number;
   /** Retry budget of a service. */
   readonly budget: (service: string) => RetryBudget;
@@ -142,7 +144,7 @@
   private outcome: string = CALLER_LEFT;
 
   /** Last failure response of a replica, sent to the caller unless a retry succeeds. */
-  private bufferedResponse: BufferedResponse | undefined;
+  private bufferedResponse: ReplicaResponse | undefined;
 
   constructor(
     private readonly parts: ExecutionDependencies,
@@ -222,11 +224,11 @@
     choice: Choice,
     continuation: string | undefined,
   ): Promise<AttemptResult | undefined> {
-    const { inFlight, chooser, noteNotResident } = this.parts;
+    const { inFlight, chooser, markAbsent } = this.parts;
     const { replica } = choice;
     const key = this.adapterKey();
     // The request counts as in flight from now on, so that its adapter is not evicted.
-    const note = inFlight.begin(replica.id, key);
+    const handle = inFlight.begin(replica.id, key);
     try {
       const { isLate } = this.finder;
       const admission = await this.prefillWait.waitForAdmission(
@@ -237,7 +239,7 @@
       );
       if (this.hasEnded) return undefined;
       if (admission === PrefillAdmission.NotResident) {
-        noteNotResident(replica.id, key!);
+        markAbsent(replica.id, key!);
         return undefined;
       }
       if (admission === PrefillAdmission.Full) return undefined;
@@ -245,23 +247,23 @@
       // A migrated stream can't continue on another replica, as the state of its run was copied to this one.
       const isAdmitted = await this.parts.limits.admit(replica.id);
       if (this.hasEnded || (!isAdmitted && continuation === undefined)) return undefined;
-      return await this.sendAttempt(choice, continuation, note);
+      return await this.sendAttempt(choice, continuation, handle);
     } finally {
-      note.requestEnded();
+      handle.requestEnded();
     }
   }
 
   private async sendAttempt(
-    { replica, residentVersion: heldVersion }: Choice,
+    { replica, residentVersion }: Choice,
     continuation: string | undefined,
-    note: InFlightHandle,
+    handle: InFlightHandle,
   ): Promise<AttemptResult> {
     const { dialect, pool, timers, health, limits } = this.parts;
     const { head, body, hasAccounts, account } = this.options;
     const headers = dialect.upstreamHeaders(head, {
       waitMs: Math.max(1, Math.floor(this.deadlineAt - timers.now())),
       instance: replica.name,
-      version: heldVersion === undefined || heldVersion === 0 ? undefined : heldVersion,
+      version: residentVersion === undefined || residentVersion === 0 ? undefined : residentVersion,
       rank: head.generation === undefined ? undefined : this.rank,
       hasAccounts,
       account: account?.name,
@@ -282,7 +284,7 @@
       call,
       requestId: head.id,
       relay: this.relay,
-      onStreamData: note.responseStarted,
+      onStreamData: handle.responseStarted,
       onDataReceived: () => {
         retryPermit?.settle();
         health.recordBytes(replica.id);
@@ -307,7 +309,7 @@
     return result;
   }
 
-  /** Takes the permit for the attempt that begins; undefined when that is no retry. */
+  /** Consumes the permit for the attempt that begins; undefined when that is no retry. */
   private consumeRetryPermit(sentAt: number): RetryPermit | undefined {
     const { retryPermit } = this;
     this.retryPermit = undefined;
@@ -320,15 +322,15 @@
    * Waits for the end of an attempt; a stream is migrated meanwhile if its engine is about to be shut down.
    */
   private async awaitResult(attempt: Attempt, replica: ReplicaEntry): Promise<AttemptResult> {
-    const { migrations } = this.parts;
+    const { migrator } = this.parts;
     const { head, service } = this.options;
     const { generation } = head;
     this.migrated = undefined;
     if (generation === undefined || this.relay === undefined) return attempt.result;
     const stream: EngineStream = { request: head.id, service, rank: this.rank, generation, replica };
-    const migration = migrations.register(stream);
+    const migration = migrator.register(stream);
     const result = await attempt.result;
-    this.migrated = await migrations.complete(migration, result.outcome === AttemptOutcome.BrokenStream);
+    this.migrated = await migrator.complete(migration, result.outcome === AttemptOutcome.BrokenStream);
     return result;
   }
 
@@ -367,7 +369,7 @@
   }
 
   /**
-   * Decides what follows from the result of an attempt.
+   * Logs the result of an attempt and decides whether it ends the request.
    * @returns Whether another attempt is to be made.
    */
   private handleResult({ replica }: Choice, result: AttemptResult): boolean {
@@ -378,9 +380,9 @@
   }
 
   /**
-   * The replica sent a whole response: it goes to the caller, unless it is a failure and a retry is allowed.
+   * The response was buffered whole: it goes to the caller, unless it is a failure and a retry is allowed.
    */
-  onResponse(response: BufferedResponse): boolean {
+  onResponse(response: ReplicaResponse): boolean {
     this.possibleRuns += 1;
     const { kind, maxAttempts } = this.options.route;
     const isFailure = response.status >= MIN_FAILURE_STATUS;
@@ -403,7 +405,8 @@
   }
 
   /**
-   * Not run: goes to another replica, unless an earlier attempt may have run and the route allows no retry.
+   * The replica did not run the request: another one is tried, unless an earlier attempt may have run and the
+   * route allows no retry.
    */
   onNotRun(): boolean {
     this.refusals += 1;
@@ -412,14 +415,14 @@
   }
 
   /**
-   * The replica is gone or lacks the adapter: corrects what is known of it, so that the next choice takes
-   * that into account.
+   * The replica is gone or lacks the adapter: marks the adapter as absent there, which the next choice takes
+   * into account.
    */
   onMisdirected(replica: ReplicaEntry): boolean {
     const key = this.adapterKey();
     if (key !== undefined) {
-      this.parts.noteNotResident(replica.id, key);
-      this.finder.noteAdapterMissing(replica.id);
+      this.parts.markAbsent(replica.id, key);
+      this.finder.recordAdapterMissing(replica.id);
     }
     return this.onNotRun();
   }
@@ -450,7 +453,7 @@
     return kind === RouteKind.Safe || (kind === RouteKind.Streaming && isResumable);
   }
 
-  /** Reserves the next attempt if there is time left for it. */
+  /** Reserves the next attempt, unless the deadline has passed. */
   private tryReserveRetry(): boolean {
     return this.remainingMs() > 0 && this.reserveRetry();
   }
@@ -492,7 +495,7 @@
   }
 
   /** Sends a replica's buffered response to the caller. */
-  private sendResponse({ status, headers, body }: BufferedResponse): void {
+  private sendResponse({ status, headers, body }: ReplicaResponse): void {
     const { res } = this.options;
     this.hasEnded = true;
     this.outcome = `answered ${Math.floor(status / 100)}xx`;
