--- a/packages/routing/src/core/adapters/adapter-load.ts
+++ b/packages/routing/src/core/adapters/adapter-load.ts
@@ -35,8 +35,8 @@
  */
 const REPLACEMENT_POLL_MS = 100;
 /**
- * Share of the expected load time after which the first poll is sent. Polling any later could never show that
- * loads have become faster.
+ * Share of the expected load time after which the first poll is sent. If the first poll were sent only after
+ * the whole expected time, no shorter load time would ever be measured.
  */
 const FIRST_POLL_SHARE = 0.85;
 
@@ -132,7 +132,7 @@
   }
 
   /**
-   * Handles an engine that reports the adapter as already resident. That is expected for a reload after a
+   * Handles the response that the adapter is already resident. That is expected for a reload after a
    * request did not find the adapter. Otherwise the slot table disagrees with the engine, and a new report is
    * needed.
    */
@@ -271,7 +271,7 @@
     onSlotAvailable();
   }
 
-  /** Rejects waiting requests, which then try elsewhere; the load itself is still followed. */
+  /** Rejects waiting requests, which then try another engine; the load itself is still followed. */
   private rejectRequests(reason: string): void {
     if (!this.isAwaited) return;
     this.isAwaited = false;
@@ -279,7 +279,10 @@
   }
 }
 
-/** Returns whether a report lists the adapter of a slot as resident, with no version of it still loading. */
+/**
+ * Returns whether a report lists the adapter of a slot as resident in the slot's version or a newer one, and no
+ * version of it as still loading.
+ */
 function showsResident({ models, loading }: EngineReport, { key, version }: Slot): boolean {
   const isLoading = loading.some(({ model, adapter }) => adapterKey(model, adapter) === key);
   if (isLoading) return false;
--- a/packages/routing/src/core/adapters/sequenced-orders.ts
+++ b/packages/routing/src/core/adapters/sequenced-orders.ts
@@ -38,7 +38,7 @@
   [OrderOutcome.Unreachable]: () => undefined,
 };
 
-/** Thrown when the engine holds no base model, so that everything known about it is void. */
+/** Thrown when the engine holds no base model, so that all that is known about it is invalid. */
 export class EngineEmptyError extends Error {}
 
 /** Options of {@link SequencedOrders}. */
@@ -59,7 +59,7 @@
 
 /** Sends orders to one engine and tracks its sequence number. */
 export class SequencedOrders {
-  /** Number of orders that the engine has accepted; undefined while unknown. */
+  /** Number of accepted orders that had an effect on the engine; undefined while unknown. */
   private sequence: number | undefined;
 
   /**
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Returns whether a response can be relied on. Where the engine rejects older tokens, a wrong sequence
-   * number never matches. Elsewhere an order of a former owner can make it match, so each response that
-   * changes the sequence number is confirmed to belong to its order.
+   * Returns whether a response can be relied on. Where the engine rejects older fencing tokens, a wrong
+   * sequence number never matches the engine's. Elsewhere an order of a former owner can make it match, so each
+   * response that an order has started or is done is confirmed to belong to that order.
    */
   private async isConfirmed(outcome: OrderOutcome): Promise<boolean> {
     const changesSequence = outcome === OrderOutcome.Started || outcome === OrderOutcome.Done;
@@ -185,7 +185,8 @@
    * @param model - A base model resident on the engine.
    * @param apply - Receives the verified report before any order is sent that is based on it.
    * @throws EngineEmptyError when the engine holds no model.
-   * @throws AdapterUnavailable when the engine has restarted, or another daemon sends it orders.
+   * @throws AdapterUnavailable when the engine has restarted or gives an unexpected response, or this daemon no
+   *   longer owns it.
    */
   synchronize(model: string, apply: (report: EngineReport) => void): Promise<void> {
     return this.runExclusively(() => this.synchronizeNow(model, apply));
@@ -214,7 +215,7 @@
 
   /**
    * Discards the sequence number after the connection has ended. The next order or poll triggers
-   * synchronization, so an idle engine is left alone.
+   * synchronization, so an idle engine receives no messages.
    */
   forgetSequence(): void {
     this.sequence = undefined;
@@ -243,8 +244,8 @@
       }
       if (outcome !== OrderOutcome.Busy && orders.isConnected)
         throw new AdapterUnavailable(`The order that verifies a report was answered ${outcome}.`);
-      // A refused order does not raise the highest token that the engine has seen, so a former owner could
-      // continue.
+      // An order that was not accepted does not raise the highest fencing token that the engine has seen, so
+      // it would still accept orders of a former owner.
       if (!isTokenRaised && orders.isConnected)
         isTokenRaised = (await this.sendModelLoad(model, undefined)) === OrderOutcome.Done;
       await timers.sleep(SYNCHRONIZE_RETRY_MS);
--- a/packages/routing/src/core/adapters/session.ts
+++ b/packages/routing/src/core/adapters/session.ts
@@ -3,7 +3,7 @@
  * adapters there.
  *
  * When the engine turns out to have restarted, the session ends, and its tasks stop without affecting the
- * next one.
+ * next session.
  */
 import type { DecisionLog, TimerService } from '@celeryyoke/core';
 
@@ -50,7 +50,7 @@
 
   constructor(readonly context: SessionContext) {}
 
-  /** Whether the engine has restarted or the owner has given it up. */
+  /** Whether the engine has restarted or this daemon no longer owns it. */
   get isEnded(): boolean {
     return this.hasEnded;
   }
@@ -83,7 +83,7 @@
    * Releases a slot and logs the reason, which helps to explain an engine that turns out to hold more than
    * its capacity.
    * @param key - `model/adapter`.
-   * @param reason - Why the engine can't hold the adapter.
+   * @param reason - Why the engine does not hold the adapter.
    */
   releaseSlot(key: string, reason: string): void {
     const { slots, log, replica } = this.context;
--- a/packages/routing/src/core/budget/budget.ts
+++ b/packages/routing/src/core/budget/budget.ts
@@ -1,11 +1,11 @@
 /**
  * Retry budget of one service. All daemons share it without exchanging messages.
  *
- * In any window, the users allow a share of the requests plus a fixed number of retries, summed over all
- * daemons. Each daemon spends the share of the requests that it received itself and its own part of the fixed
- * number, so that the sum holds in any partition of the fleet.
+ * In any window, the number of retries, summed over all daemons, is limited to a share of the requests plus a
+ * fixed number. Each daemon uses the share of the requests that it received itself and its own part of the
+ * fixed number, so that the limit holds even while daemons can't reach each other.
  *
- * The users count a retry when it arrives at a replica. How long that takes is not known beforehand, so a
+ * For the limit, a retry occurs when it arrives at a replica. How long that takes is not known beforehand, so a
  * retry counts from its reservation until one window after the time by which it must have arrived.
  */
 import type { TimerService } from '@celeryyoke/core';
@@ -13,10 +13,10 @@
 import { RetryPermit } from './permit.js';
 import { SlidingSum } from './sliding-sum.js';
 
-/** Share of the allowance that is spent: the users count in windows that begin at other times. */
+/** Share of the allowance that is used: the limit is measured in windows that begin at other times. */
 const ALLOWANCE_SHARE = 0.8;
 
-/** Retries that the users allow. */
+/** Limit on the retries of a service. */
 export interface BudgetBounds {
   /** Retries for each request. */
   readonly ratio: number;
@@ -42,7 +42,7 @@
   /** Retries that are reserved and may still arrive. */
   private pending = 0;
 
-  /** Retries that have arrived. */
+  /** Retries of the last window that have arrived, or never will. */
   private readonly settled: SlidingSum;
 
   constructor(private readonly options: RetryBudgetOptions) {
--- a/packages/routing/src/core/catalog/table.ts
+++ b/packages/routing/src/core/catalog/table.ts
@@ -44,12 +44,12 @@
     return this.accountsByKey.get(keyDigest);
   }
 
-  /** Returns the account of a name, or undefined when the document has none. */
+  /** Returns the account with this name, or undefined when the document has none. */
   account(name: string): ClientAccount | undefined {
     return this.accountsByName.get(name);
   }
 
-  /** Returns the service of a name, or undefined when the document has none. */
+  /** Returns the service with this name, or undefined when the document has none. */
   service(name: string): UpstreamService | undefined {
     return this.services.get(name);
   }
--- a/packages/routing/src/core/choice/replica-health.ts
+++ b/packages/routing/src/core/choice/replica-health.ts
@@ -14,7 +14,8 @@
  */
 const SILENCE_TIMEOUT_MS = 700;
 /**
- * First ejection of a replica that can't be reached; each further one takes twice as long, up to the maximum.
+ * Duration of the first ejection of a replica that can't be reached, in milliseconds. Each further one takes
+ * twice as long, up to the maximum.
  */
 const MIN_EJECTION_MS = 400;
 const MAX_EJECTION_MS = 3000;
--- a/packages/routing/src/core/cluster/link.ts
+++ b/packages/routing/src/core/cluster/link.ts
@@ -11,8 +11,8 @@
 /** Bytes that may be buffered for a peer that does not read before the link is ended. */
 const MAX_BACKLOG_BYTES = 4 * 1024 * 1024;
 /**
- * Unanswered heartbeats after which a link counts as silent. Heartbeats are counted instead of time, as a
- * process that is itself paused sends none.
+ * Unanswered heartbeats after which a link counts as silent. Heartbeats are counted instead of time, so that a
+ * pause of this process, which sends none meanwhile, does not end the link.
  */
 const MAX_UNANSWERED_HEARTBEATS = 3;
 const HEARTBEAT = encodeFrame([MessageType.Heartbeat, 0]);
@@ -52,8 +52,8 @@
   /**
    * Starts to connect. Messages sent before the connection is established are buffered.
    * @param address - Address of the peer, as `host:port`.
-   * @param timers - Time.
-   * @param events - Callbacks.
+   * @param timers - Clock and timers.
+   * @param events - Supplies the hello, and handles pushes, digests and the end of the link.
    */
   constructor(
     address: string,
--- a/packages/routing/src/core/limits/limit-codec.ts
+++ b/packages/routing/src/core/limits/limit-codec.ts
@@ -5,17 +5,17 @@
 
 export type PermitFrame = readonly [isGranted: boolean, waitMs: number];
 
-/** Encodes a row. */
+/** Encodes the limit of a replica, with null for an undefined rate. */
 export function encodeLimit({ replica, ratePerSecond, version }: ReplicaLimitRow): LimitFrame {
   return [replica, ratePerSecond ?? null, version];
 }
 
-/** Decodes a row. */
+/** Decodes the limit of a replica. */
 export function decodeLimit([replica, ratePerSecond, version]: LimitFrame): ReplicaLimitRow {
   return { replica, ratePerSecond: ratePerSecond ?? undefined, version };
 }
 
-/** Encodes a permit. */
+/** Encodes a permit, with its wait rounded up to whole milliseconds. */
 export function encodePermit({ isGranted, waitMs }: AttemptPermit): PermitFrame {
   return [isGranted, Math.ceil(waitMs)];
 }
--- a/packages/routing/src/core/requests/headers.ts
+++ b/packages/routing/src/core/requests/headers.ts
@@ -6,7 +6,7 @@
 import type { HeaderMap } from '../channels/index.js';
 
 /**
- * Drops the hop-by-hop headers.
+ * Returns all headers but the hop-by-hop ones.
  * @param headers - The replica's headers.
  * @returns Alternating names and values.
  */
@@ -28,10 +28,10 @@
  * Writes the head of the response to the caller, framed as the replica's response was.
  *
  * A response without a length ends when its connection closes, so nobody can tell whether it is complete. It
- * is passed on in the same form: a content length or chunked encoding added here would vouch for a body that
- * may be truncated.
+ * is passed on in the same form: with a content length or chunked encoding added here, a truncated body would
+ * look complete.
  * @param headers - The replica's headers.
- * @param bodyBytes - Size of a buffered body; sent only where the replica's response was framed.
+ * @param bodyBytes - Size of a buffered body; not sent if the replica's response had a body of unknown length.
  */
 export function writeResponseHead(
   res: ServerResponse,
--- a/packages/routing/src/core/requests/migration.ts
+++ b/packages/routing/src/core/requests/migration.ts
@@ -25,11 +25,11 @@
  * milliseconds.
  */
 const COPY_RESERVE_MS = 120;
-/** Largest age of an engine's report, in milliseconds, with a margin; the protocol states some hundreds. */
+/** Largest age of an engine's report, in milliseconds, with a margin; the protocol specifies a few hundred. */
 const REPORT_AGE_MS = 300;
 /**
- * Reads of a leaving engine's report, one per report age; an engine that leaves without a deadline never
- * states a time.
+ * Maximum number of reads of a leaving engine's report, REPORT_AGE_MS apart. An engine that leaves without a
+ * deadline never reports the time of its shutdown.
  */
 const MAX_REPORT_READS = 2;
 /** Pause between two choices while no other engine can take a stream, in milliseconds. */
@@ -37,7 +37,7 @@
 /** Longest wait in one engine's queue before the choice is made again, in milliseconds. */
 const QUEUE_TIMEOUT_MS = 200;
 
-/** Copies the state of runs between engines; the adapter to a platform implements it. */
+/** Copies the state of runs between engines; implemented for each platform. */
 export interface RunStateCopier {
   /**
    * Copies the state of a run.
@@ -88,7 +88,7 @@
 
   private shutdownAt = Number.NEGATIVE_INFINITY;
 
-  /** Whether the run was ordered to stop, so that a cut of the stream is due to its own migration. */
+  /** Whether the migration has ordered the run to stop, which also interrupts the stream. */
   private hasStoppedRun = false;
 
   constructor(
@@ -108,7 +108,10 @@
     });
   }
 
-  /** Returns where a stream that was cut continues; undefined when it was not cut by its own migration. */
+  /**
+   * Returns where an interrupted stream continues; undefined when the migration failed or did not cause the
+   * interruption. In the latter case the migration is cancelled.
+   */
   resultAfterCut(): Promise<MigratedStream | undefined> {
     if (this.hasStoppedRun && this.migration !== undefined) return this.migration;
     this.cancel();
@@ -124,7 +127,7 @@
     return this.streamEnd.signal.aborted;
   }
 
-  /** Time left for the migration, in milliseconds. */
+  /** Time until the shutdown less the reserve for the copy, in milliseconds. */
   private remainingMs(): number {
     return this.shutdownAt - this.parts.timers.now() - COPY_RESERVE_MS;
   }
@@ -146,7 +149,8 @@
   }
 
   /**
-   * Chooses another engine for the stream and loads its adapter there; undefined when there is no time left.
+   * Chooses another engine for the stream and loads its adapter there; undefined when there is no time left or
+   * the stream has ended.
    */
   private async prepareTarget(): Promise<Choice | undefined> {
     const { chooser, timers } = this.parts;
@@ -208,7 +212,7 @@
   }
 }
 
-/** Keeps the streams of a daemon by engine, and migrates those of engines that announce their shutdown. */
+/** Tracks the streams of a daemon by engine, and migrates those of engines that announce their shutdown. */
 export class StreamMigrator {
   /** Running streams by the id of their engine. */
   private readonly byEngine = new Map<string, Set<StreamMigration>>();
@@ -221,8 +225,8 @@
   }
 
   /**
-   * Reads the report of a leaving engine until it states the time of its shutdown, and then starts the
-   * migrations.
+   * Reads the report of a leaving engine until it states the time of the shutdown, at most MAX_REPORT_READS
+   * times, and then starts the migrations.
    */
   private async startOnShutdownNotice(engine: ReplicaEntry): Promise<void> {
     const { control, timers, log } = this.parts;
@@ -257,7 +261,7 @@
   /**
    * Unregisters a stream whose attempt has ended.
    * @param migration - What {@link register} returned.
-   * @param wasCut - Whether the stream broke, as it does in its own migration.
+   * @param wasCut - Whether the stream was interrupted, as it is when its migration stops the run.
    * @returns Where the stream continues; undefined when it was not migrated.
    */
   async complete(migration: StreamMigration, wasCut: boolean): Promise<MigratedStream | undefined> {
