--- a/packages/fleet/src/core/leases/lease-renewer.ts
+++ b/packages/fleet/src/core/leases/lease-renewer.ts
@@ -22,12 +22,12 @@
   readonly messages: Counter;
 }
 
-/** Notifications about idle leases are batched for this long before they are sent. */
+/** Time for which notifications about idle leases are collected before they are sent, in milliseconds. */
 const BATCH_DELAY_MS = 20;
 
 /**
- * Response for a lease of another incarnation: it ended with that process, but requests that it sent may
- * still run.
+ * Response to the recall of a lease that another incarnation of this daemon held: the lease ended with that
+ * process, but requests that the process sent may still run on the engine.
  */
 const ENDED_WITH_PROCESS = { ended: true, ask: Number.MAX_SAFE_INTEGER, settled: false, running: 0 };
 
--- a/packages/fleet/src/core/leases/local-leases.ts
+++ b/packages/fleet/src/core/leases/local-leases.ts
@@ -7,16 +7,16 @@
 
 /** This daemon's lease on an adapter of one engine. */
 export class LocalLease {
-  /** Monotonic milliseconds until which requests may start under it; -Infinity when it is not granted. */
+  /** Monotonic milliseconds until which requests may start under it; -Infinity when it is not held. */
   validUntil = -Infinity;
 
-  /** Number of requests that run under it. */
+  /** Number of requests for the adapter that run under it. */
   running = 0;
 
-  /** Number of requests for this lease whose response is pending. */
+  /** Number of messages to the owner that request this lease and whose response is pending. */
   pendingRequests = 0;
 
-  /** Whether a request under it ended without certainty that the engine has ended it too. */
+  /** Whether a request under it has ended on this daemon without certainty that it has ended on the engine. */
   hasUnsettled = false;
 
   /** Whether no more requests may start under it, because the owner recalled it to free the slot. */
@@ -29,7 +29,7 @@
   ) {}
 
   /**
-   * Records the end of a request for this lease.
+   * Records the owner's response to a request for this lease, or that the request failed.
    * @param validUntil - Monotonic milliseconds until which it was granted; undefined when it was not.
    */
   endRequest(validUntil: number | undefined): void {
@@ -68,8 +68,8 @@
 }
 
 /**
- * Bound on the ended leases of an engine that are kept for an owner that does not respond; the oldest are
- * dropped.
+ * Maximum number of ended leases of an engine that are kept until its owner acknowledges them; beyond it, the
+ * oldest are dropped.
  */
 const MAX_ENDED_LEASES = 64;
 
@@ -116,7 +116,7 @@
   }
 
   /**
-   * Ends a lease that its owner drains, if it is idle.
+   * Ends a lease that is draining, if it is idle.
    * @returns Whether the lease is idle, so that its owner should be notified soon.
    */
   endIfDraining(lease: LocalLease): boolean {
@@ -125,7 +125,8 @@
   }
 
   /**
-   * Ends the leases on an engine that were not used for a while, and builds the renewal of the others.
+   * Ends the leases on an engine that have been idle for long, and builds the message that renews the others
+   * and reports the ended ones.
    * @param idleBefore - Leases that were last used before this time, in monotonic milliseconds, are ended if
    * idle.
    * @returns The message for the engine's owner; undefined when there is nothing to report.
@@ -161,8 +162,9 @@
   }
 
   /**
-   * Ends a lease if it is idle, in one synchronous step.
-   * @param drain - Whether no more requests may start under it if some still run.
+   * Ends a lease that its owner recalls, if it is idle. Synchronous, so that no request starts between the
+   * check and the end.
+   * @param drain - Whether to start no more requests under the lease if it can't end yet.
    * @returns The response for the owner.
    */
   recall(engine: string, key: string, drain: boolean): LeaseRecallResponse {
--- a/packages/fleet/src/core/membership/pauses.ts
+++ b/packages/fleet/src/core/membership/pauses.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Compares the clocks with the last tick, at each tick and at each call, so that a pause shows before a timer
- * fires.
+ * Compares the clocks with their readings at the last tick, at each tick and at each call, so that a call
+ * detects a pause even before the next tick.
  */
 export class PauseDetector {
   private lastTick: Moment;
@@ -32,16 +32,16 @@
     });
   }
 
-  /** Whether the view was not confirmed since the last pause; checks the clocks first. */
+  /** Whether there was a pause since which the view has not been confirmed; checks the clocks first. */
   needsConfirmation(): boolean {
     this.detectPause();
     return this.pauseDetectedAt !== undefined;
   }
 
   /**
-   * Records that the view was read again or confirmed by peers. Does nothing if that was started before the
-   * last pause.
-   * @param startedAt - Monotonic time in milliseconds when the read was started.
+   * Records that the view was read again or confirmed by peers. Does nothing if the read or the
+   * confirmation was started before the last pause was detected.
+   * @param startedAt - Monotonic time in milliseconds when it was started.
    */
   recordConfirmation(startedAt: number): void {
     this.detectPause();
@@ -49,7 +49,7 @@
       this.pauseDetectedAt = undefined;
   }
 
-  /** Stops the ticks. */
+  /** Stops the regular checks. */
   stop(): void {
     this.tick.cancel();
   }
--- a/packages/fleet/src/core/membership/types.ts
+++ b/packages/fleet/src/core/membership/types.ts
@@ -8,13 +8,13 @@
 export interface Membership {
   /** Returns the hosts of a role, including those that are leaving. */
   hosts(role: HostRole): readonly HostEntry[];
-  /** Returns the host of a name; undefined when it is not listed. */
+  /** Returns the host with a name; undefined when it is not listed. */
   findHost(name: string): HostEntry | undefined;
   /** Whether the host is live: listed and not leaving. */
   isLive(name: string): boolean;
   /**
-   * Whether a peer responds to heartbeats. A live peer without a permanent link counts as reachable until a
-   * connection to it fails.
+   * Whether a peer responds to heartbeats. A live peer to which no link is kept counts as reachable until
+   * a connection to it fails.
    */
   isReachable(peer: string): boolean;
   /** Last known incarnation of a peer; undefined when it was never connected. */
@@ -45,7 +45,7 @@
 export interface ManagedMembership extends Membership {
   /**
    * Digest of the hosts in the view; equal on all daemons that have the same list. Empty before the first
-   * one.
+   * list.
    */
   digest(): string;
   /** Version of the list; undefined when the platform provides none. */
@@ -54,7 +54,7 @@
   viewAgreement(): ViewAgreement;
   /**
    * Keeps links to further peers, in addition to the chosen neighbours.
-   * @param purpose - Identifies the request; a later one of the same purpose replaces it.
+   * @param purpose - What the links are for; a later call with the same purpose replaces its peers.
    */
   pinLinks(purpose: string, peers: readonly string[]): void;
   /** Starts to read the host list regularly. */
@@ -71,7 +71,7 @@
   readonly readTimeoutMs: number;
   /** Timeout of one request to a peer. */
   readonly peerTimeoutMs: number;
-  /** Target of reads from the platform per second by all daemons together; the other reads ask peers. */
+  /** Target number of reads from the platform per second by all daemons together; other reads go to peers. */
   readonly fleetReadsPerSecond: number;
   /** A peer without a heartbeat for this time counts as unreachable. */
   readonly suspectMs: number;
@@ -81,14 +81,15 @@
   readonly pauseMs: number;
   /** Bound on the drift between two monotonic clocks, as a fraction. */
   readonly driftShare: number;
-  /** Most neighbours to which links are kept; pinned peers come on top. */
+  /** Maximum number of neighbours to which links are kept; pinned peers are not counted. */
   readonly maxPeers: number;
-  /** A list that lacks more than this share of the hosts of a role at once is held back. */
+  /** A list that lacks more than this fraction of the hosts of a role at once is not accepted immediately. */
   readonly panicShare: number;
-  /** Time for which such a list is held back while every read returns one. */
+  /** Time for which every read must return such a list before one is accepted. */
   readonly panicHoldMs: number;
   /**
-   * Time in which only older versions must be read until one is accepted, as after a restore of the platform.
+   * Time for which every read must return an older version than the one in use before one is accepted, as
+   * after a restore of the platform.
    */
   readonly versionResetMs: number;
 }
@@ -102,8 +103,8 @@
   readonly audit: AuditTrail;
   readonly settings?: Partial<MembershipSettings>;
   /**
-   * Random numbers from 0 to 1 that choose between platform and peers, and which peers; `Math.random` by
-   * default.
+   * Returns random numbers from 0 to 1; they decide whether a read asks the platform or peers, and which
+   * peers. `Math.random` by default.
    */
   readonly random?: () => number;
 }
--- a/packages/fleet/src/core/ownership/departures.ts
+++ b/packages/fleet/src/core/ownership/departures.ts
@@ -8,14 +8,14 @@
 
 interface Departure {
   readonly incarnation: number | undefined;
-  /** When the last request was sent that the daemon confirmed its departure to. */
+  /** When the last request was sent to which the daemon responded that it has departed. */
   confirmedAt: Moment;
 }
 
 /**
- * Departures known to this daemon. Each stays active for one authority span after the last request that
- * confirmed it. A new process on the same host waits longer than that before it acts, so the two can't
- * overlap.
+ * Departures known to this daemon. Each stays active for one authority span ({@link authoritySpanMs}) after
+ * the last request that confirmed it was sent. A new process on the same host waits longer than that before
+ * it acts, so it never acts while the departure is still active.
  */
 export class Departures {
   private readonly departures = new Map<string, Departure>();
--- a/packages/fleet/src/core/peers/memory.ts
+++ b/packages/fleet/src/core/peers/memory.ts
@@ -13,7 +13,7 @@
 } from './types.js';
 import { PeerEventKind } from './types.js';
 
-/** Connects daemons in one process; values are still encoded and decoded as on the wire. */
+/** Connects daemons in one process; values between daemons are encoded and decoded as on the wire. */
 export interface MemoryPeerNet {
   /**
    * Adds a daemon, or replaces the one of the same name, as after a restart.
@@ -35,9 +35,9 @@
    */
   unblockDirection(from?: string, to?: string): void;
   /**
-   * Sends one heartbeat from every daemon to every other daemon that it can reach.
-   * @param passes - Whether this heartbeat passes in a direction; all pass by default. Simulates paused
-   * processes.
+   * Sends one heartbeat from every daemon to every other daemon that it can reach and keeps a link to.
+   * @param passes - Whether the heartbeat in a direction is sent; all are by default. Tests use it to simulate
+   * paused processes.
    */
   exchangeHeartbeats(passes?: (from: string, to: string) => boolean): void;
 }
@@ -127,8 +127,8 @@
     if (this.linked !== undefined && !this.linked.has(peer.self.name)) return;
     peer.emitHeartbeat(this.self);
     this.sendSections(peer);
-    // A heartbeat counts for its sender once it is acknowledged. The acknowledgement carries the peer's
-    // sections if the peer sends no heartbeats of its own.
+    // The sender regards a heartbeat as exchanged once the peer acknowledges it. The acknowledgement carries
+    // the peer's sections if the peer sends no heartbeats of its own.
     if (this.net.reachableBus(peer.self.name, this.self.name) !== this) return;
     this.emitHeartbeat(peer.self);
     if (peer.linked?.has(this.self.name) === false) peer.sendSections(this);
@@ -181,7 +181,7 @@
   }
 }
 
-/** Creates a net without daemons. */
+/** Creates an in-process network without daemons. */
 export function createMemoryPeerNet(): MemoryPeerNet {
   return new MemoryNet();
 }
--- a/packages/routing/src/core/accounts/account-metrics.ts
+++ b/packages/routing/src/core/accounts/account-metrics.ts
@@ -1,9 +1,9 @@
-/** Request counters by client account. */
+/** Counters of requests by client account, and of rejected credentials by reason. */
 import type { Counter, Metrics } from '@celeryyoke/core';
 
 import type { AuthOutcome } from './authentication.js';
 
-/** Limits the label values of the metric: accounts beyond this number share one label. */
+/** Maximum number of accounts with a label value of their own; all further accounts share one value. */
 const MAX_LABELLED_ACCOUNTS = 20;
 const OTHER_ACCOUNTS_LABEL = 'other';
 
--- a/packages/routing/src/core/daemon/services.ts
+++ b/packages/routing/src/core/daemon/services.ts
@@ -32,7 +32,7 @@
 import { startReadinessServer } from './readiness.js';
 import type { RouterOptions } from './types.js';
 
-/** Interval at which leases are reviewed, in milliseconds. */
+/** Interval at which the daemon tries to claim engines that have no owner, in milliseconds. */
 const LEASE_REVIEW_MS = 100;
 /**
  * Maximum age of a daemon's information about the fleet, in milliseconds; beyond it, the daemon may be
@@ -40,7 +40,7 @@
  */
 const MAX_FLEET_VIEW_AGE_MS = 1500;
 
-/** State of a daemon that is shared between its shutdown and its parts. */
+/** State of a daemon that its parts share with its reload and its shutdown. */
 export interface RouterState {
   /** Peers to contact first; a reload replaces them. */
   seeds: readonly string[];
@@ -57,7 +57,7 @@
   private readonly memberLog: MemberLog;
 
   /**
-   * @param kernel - Finds parts that are looked up only when they are used, as they depend on each other.
+   * @param kernel - Finds parts at the time of use, where a dependency in the list would be circular.
    */
   constructor(
     private readonly options: RouterOptions,
@@ -617,7 +617,8 @@
 
 /**
  * Wraps a part of the daemon as a service of the kernel.
- * @param stop - Called with the value that `start` returned; not called when the part never started.
+ * @param stop - Called with the value that `start` returned; not called if the part never started or the value
+ * is undefined.
  */
 function part<T>(
   name: string,
@@ -639,7 +640,7 @@
   };
 }
 
-/** Returns the start function of a timer that reviews the leases at an interval. */
+/** Returns the start function of a timer that regularly tries to claim engines that have no owner. */
 function startLeaseReviews({ timers }: RouterOptions): (kernel: ServiceFinder) => TimerHandle {
   return (kernel) => {
     const leases = kernel.get<EngineLeases>(PART.leases);
@@ -656,7 +657,7 @@
   return pauses;
 }
 
-/** Ids of all listed engines. */
+/** Ids of all registered replicas whose service has an engine in the configuration. */
 function* enginesOf(registry: ReplicaRegistry): Generator<string> {
   for (const { id, service } of registry.all())
     if (registry.table?.service(service)?.engine !== undefined) yield id;
--- a/packages/routing/src/core/ownership/pause-detector.ts
+++ b/packages/routing/src/core/ownership/pause-detector.ts
@@ -10,7 +10,10 @@
  * it.
  */
 const PAUSE_THRESHOLD_MS = 350;
-/** Time after a pause until messages from peers have arrived again, in milliseconds: two heartbeats. */
+/**
+ * Time after a pause in which messages from peers are expected to arrive again, in milliseconds; longer than
+ * the interval of heartbeats.
+ */
 const RECOVERY_MS = 500;
 
 /**
@@ -31,7 +34,7 @@
 
   /**
    * Creates a detector; {@link PauseDetector.start} begins the checks.
-   * @param timers - Time.
+   * @param timers - Clocks that are compared, and the timer of the checks.
    * @param onPause - Called with the length of a pause in milliseconds.
    */
   constructor(
@@ -52,8 +55,8 @@
   }
 
   /**
-   * Returns the longest delay of the event loop since the last call, and resets it.
-   * @returns Milliseconds.
+   * Returns the longest delay of a check since the last call of this method, and resets it.
+   * @returns The delay in milliseconds, whether from a busy event loop or from a pause.
    */
   takeLongestDelayMs(): number {
     const { longestDelayMs } = this;
